--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -2,167 +2,167 @@
 
 import "fmt"
 
-// A task may crash each worker that starts it. Its runs then end with their worker, which
-// reports nothing, and everything else there ends too: its siblings, tasks of other jobs
-// and standing ones. Uncounted, it is started again without end and takes a worker down
-// for some seconds each time. Counted alike for all that ran there, bystanders would be
-// given up with it, though their jobs could be done.
+// Crash attribution: a task may crash every worker that starts it. Such a worker reports no
+// outcome, and all other runs on it are lost as well. Without a limit the task would be started
+// again without end and take a worker down for some seconds each time; a plain crash count would
+// also give up unrelated tasks that only ran on the same workers.
 //
-// So each task has odds that it crashes its workers, by Bayes' rule: a crash raises the odds
-// of those that had just begun most, of one among many suspects little, and of one that is
-// alone much; a run that was at work for a while lowers them. A worker that crashes by itself
-// is always one of the explanations. The arithmetic is in whole numbers, since all replicas
-// must come to the same.
+// Each task therefore has odds of crashing its workers, updated by Bayes' rule. A crash raises the
+// odds most for runs that had just begun, little for one of many suspects and much for a run that
+// was alone on the worker; a run that worked for a while lowers them. A crash that no task caused
+// is always one of the possible causes. The arithmetic uses integers, so that all replicas compute
+// the same result.
 const (
-	// one is the scale of odds.
-	one = 1_000_000
-	// priorOdds are those of a task that nothing is known of: one in a thousand.
-	priorOdds = one / 1000
-	// mostOdds bounds them, so that a long look the other way can still clear a task.
-	mostOdds = 1000 * one
-	// ownRate is how often a worker crashes by itself, in millionths a millisecond: once in
-	// 20 s, as one does that flaps. Most do so far less; taken for less, tasks that were
-	// started on a flapping worker would be given up.
-	ownRate = 50
-	// leastSpanMS is the shortest time within which a crash is taken to be known.
-	leastSpanMS = 20
-	// suspectOdds make a task a suspect, and aloneOdds one that has to be looked at alone, as
-	// every suspect has once the next crash is the last for it: after a crash under fourteen
-	// tasks alike that had just begun each has odds of 0.05, after one under two 0.14, and two
-	// of the fourteen that were still together have even ones after the second.
-	suspectOdds = one / 100
-	aloneOdds   = one / 8
-	// anywayLimit is the crashes after which a task is given up whatever its odds, unless
-	// it was at work for a minute in between: so that one which takes long to crash its
-	// worker isn't started for ever either.
-	anywayLimit = 10
+	// oddsScale is the unit of odds and probabilities: both are kept in millionths.
+	oddsScale = 1_000_000
+	// priorOdds are the odds of a task without any history: one in a thousand.
+	priorOdds = oddsScale / 1000
+	// maxOdds bounds the odds, so that long work without a crash can still clear a task.
+	maxOdds = 1000 * oddsScale
+	// baseCrashRate is the rate at which a worker crashes without a task causing it, in millionths
+	// per ms: once in 20 s, as a flapping worker does. Most workers crash far less often, but with
+	// a lower rate tasks started on a flapping worker would be given up.
+	baseCrashRate = 50
+	// minSpanMS is the shortest interval, in ms, to which the time of a crash is taken to be known.
+	minSpanMS = 20
+	// A task becomes a suspect at suspectOdds and needs an isolated start at isolateOdds, as does
+	// every suspect that the next crash may give up (see isolateCrashes). After a crash under
+	// fourteen similar tasks that had just begun, each has odds of 0.05; after one under two such
+	// tasks, 0.14; two of the fourteen that were together again have even odds after the second.
+	suspectOdds = oddsScale / 100
+	isolateOdds = oddsScale / 8
+	// maxCrashes is the number of crashes after which a task is given up whatever its odds, unless
+	// it worked for clearAgeMS in between. It bounds the starts of a task that crashes its worker
+	// only after a long time.
+	maxCrashes = 10
 )
 
-// certainOdds give a task up after two crashes. One crash that comes by chance while a task is
-// looked at alone, which raises its odds 200 to 500 times, gives none up that had less than
-// even odds.
-const certainOdds = 300 * one
+// giveUpOdds are the odds at which a task is given up after its second crash or a later one. A
+// crash during an isolated run raises the odds 200 to 500 times, so one coincidental crash does
+// not give up a task that had less than even odds.
+const giveUpOdds = 300 * oddsScale
 
-// givesUp reports whether a crash gives a task up, before being the odds that it was started
-// with. Callers grant that after two crashes, and bear two more starts after the third; so the
-// fifth should be the last for the one that did it, with whatever company it had before. From
-// then on it is enough that the crash speaks against a suspect: one that takes up to a second
-// to crash its worker stands out no more than that. Suspects are started alone by then (see
-// Doubt): a crash that speaks for one, or that is the first to make it a suspect, may well be
-// another's.
-func (s *Suspicion) givesUp(before int64) bool {
+// shouldGiveUp reports whether the crash just counted makes the scheduler give up the task; before
+// is the task's odds before that crash. Callers accept giving up after two crashes, and tolerate
+// two more starts after the third. So the fifth crash should be the last for the task that causes
+// them, whatever ran beside it before: from then on it is enough that the crash does not lower
+// the odds of a suspect, since a task that takes up to a second to crash its worker does not stand
+// out more than that. Suspects start isolated by then (see Doubt); a crash that lowers a task's
+// odds, or that first makes it a suspect, may well have another cause.
+func (s *Suspicion) shouldGiveUp(before int64) bool {
 	switch {
 	case s.Crashes < 2:
 		return false
-	case s.atMost() <= mostInCompany:
-		return s.Odds >= certainOdds
-	case s.Crashes < anywayLimit:
+	case s.possibleCrashes() <= isolateCrashes:
+		return s.Odds >= giveUpOdds
+	case s.Crashes < maxCrashes:
 		return before >= suspectOdds && s.Odds >= before
 	}
 	return true
 }
 
-// atMost is how many workers crashed under the task if all starts without an answer took
-// effect: what is sent has to be bounded, not only what is known to have begun.
-func (s *Suspicion) atMost() int { return s.Crashes + s.Unsure }
+// possibleCrashes counts the crashes under the task as if every unanswered start had taken effect:
+// the number of starts sent must be bounded, not only of those known to have begun.
+func (s *Suspicion) possibleCrashes() int { return s.Crashes + s.Unsure }
 
-// mostInCompany is the crashes after which a suspect starts alone or not at all.
-const mostInCompany = 4
+// isolateCrashes is the number of possible crashes from which a suspect starts isolated or not at
+// all.
+const isolateCrashes = 4
 
-// OnlyAlone reports whether a task may be started only where nothing else begins.
+// OnlyAlone reports whether a task may start only on a worker where nothing else begins.
 func (g *Group) OnlyAlone(k int) bool {
-	return g.Doubt(k) == LookAlone && g.Suspicion(k).atMost() >= mostInCompany
+	return g.Doubt(k) == LookAlone && g.Suspicion(k).possibleCrashes() >= isolateCrashes
 }
 
-// survival is the part, in millionths, of the tasks that crash their workers which have not
-// done so by an age, in ms; between two of its points it falls in a straight line. It is a
-// belief, not a measurement: most such tasks fail while they start, and some while they work.
-var survival = []struct{ ageMS, left int64 }{
-	{0, 1_000_000}, {20, 500_000}, {100, 135_000}, {1000, 22_000}, {10_000, 9_000}, {longAge, 5_000}, {longAge * 60, 1_000},
+// survival gives, by age, the fraction of crashing tasks, in millionths, that have not crashed
+// their worker yet; between two points it is interpolated linearly. The values are assumed: most
+// such tasks crash while they start, and some while they work.
+var survival = []struct{ ageMS, fraction int64 }{
+	{0, 1_000_000}, {20, 500_000}, {100, 135_000}, {1000, 22_000}, {10_000, 9_000}, {clearAgeMS, 5_000}, {clearAgeMS * 60, 1_000},
 }
 
-// surviving returns the part of such tasks that have not crashed their workers by an age.
-func surviving(ageMS int64) int64 {
+// survivalAt returns the fraction of crashing tasks, in millionths, that have not crashed their
+// worker by an age.
+func survivalAt(ageMS int64) int64 {
 	for i := 1; i < len(survival); i++ {
 		a, b := survival[i-1], survival[i]
 		if ageMS < b.ageMS {
-			return a.left - (a.left-b.left)*(ageMS-a.ageMS)/(b.ageMS-a.ageMS)
+			return a.fraction - (a.fraction-b.fraction)*(ageMS-a.ageMS)/(b.ageMS-a.ageMS)
 		}
 	}
-	return survival[len(survival)-1].left
+	return survival[len(survival)-1].fraction
 }
 
-// longAge clears a task of earlier crashes, in ms.
-const longAge = 60_000
+// clearAgeMS is the age of a run from which its crash resets the task's earlier crash counts.
+const clearAgeMS = 60_000
 
-// Crash is the end of an incarnation that was in touch with its agent and did not leave.
+// Crash is the unplanned end of a worker incarnation that its agent was in contact with.
 type Crash struct {
 	Worker string `msgpack:"w"`
-	// SpanMS is the time within which it crashed: from when it was last heard until it had
-	// certainly ended.
+	// SpanMS is the length of the interval in which it crashed: from its last response until it
+	// had certainly ended.
 	SpanMS int64        `msgpack:"s"`
 	Runs   []CrashedRun `msgpack:"r"`
 }
 
-// CrashedRun is a run that was at work when its worker crashed.
+// CrashedRun is a run that was active when its worker crashed.
 type CrashedRun struct {
 	Task Ref    `msgpack:"t"`
 	Run  uint32 `msgpack:"r"`
-	// FromMS and ToMS are how long it had been at work when the worker was last heard, and
-	// when it had certainly ended.
+	// FromMS and ToMS are the run's age at the worker's last response, and when the worker had
+	// certainly ended.
 	FromMS int64 `msgpack:"f"`
 	ToMS   int64 `msgpack:"u"`
-	// Unsure says that its start went unanswered: it may not have been at work at all.
+	// Unsure is set if its start was not answered, so that it may never have begun.
 	Unsure bool `msgpack:"n,omitempty"`
 }
 
-// unsureShare is the part, in hundredths, of the starts without an answer on a worker that
-// crashed which had taken effect by then.
-const unsureShare = 30
+// unsurePercent is the share of unanswered starts on a crashed worker, in percent, that had taken
+// effect by the time of the crash.
+const unsurePercent = 30
 
-// crashing returns the part, in millionths, of the tasks that crash their workers and had not
-// by FromMS which did by ToMS.
-func (r *CrashedRun) crashing() int64 {
-	from := surviving(r.FromMS)
-	part := one * (from - surviving(max(r.ToMS, r.FromMS+leastSpanMS))) / from
+// crashProbability returns the probability, in millionths, that a crashing task which had not
+// crashed its worker by FromMS does so by ToMS. An unanswered start counts in part.
+func (r *CrashedRun) crashProbability() int64 {
+	from := survivalAt(r.FromMS)
+	fraction := oddsScale * (from - survivalAt(max(r.ToMS, r.FromMS+minSpanMS))) / from
 	if r.Unsure {
-		part = part * unsureShare / 100
+		fraction = fraction * unsurePercent / 100
 	}
-	return part
+	return fraction
 }
 
-// Suspicion is what is held against a task, or against a gang as a whole, since workers
-// crashed under its runs.
+// Suspicion is the crash history of a task, or of a gang as a whole.
 type Suspicion struct {
-	// Crashes are those of workers on which a run was at work for certain, and Unsure those of
-	// workers on which its start had gone unanswered.
+	// Crashes counts crashed workers on which a run was certainly active, Unsure those on which
+	// its start had not been answered.
 	Crashes int    `msgpack:"c"`
 	Unsure  int    `msgpack:"u,omitempty"`
 	Odds    int64  `msgpack:"o"` // in millionths
 	Run     uint32 `msgpack:"r"` // newest run that was counted: each counts once
-	Agent   string `msgpack:"a"` // beside the worker that crashed last
-	// Awaits is the agent beside a worker that was lost under the task's last run, of which
-	// it will tell with the next incarnation whether it crashed; "" for none.
+	Agent   string `msgpack:"a"` // agent of the worker that crashed last
+	// Awaits is the agent whose crash report the task waits for, "" for none: its worker was lost
+	// under the task's last run, and it reports with the next incarnation whether that crashed.
 	Awaits string `msgpack:"w,omitempty"`
 }
 
-// Doubt is how a task is to be started again.
+// Doubt is the degree of suspicion against a task, which decides where it may start.
 type Doubt uint8
 
-// The doubts about a task.
+// The degrees of suspicion.
 const (
 	NoDoubt   Doubt = iota
-	Suspect         // apart from other suspects, where few are harmed
-	LookAlone       // where nothing else begins meanwhile
+	Suspect         // starts apart from other suspects, on workers where a crash affects few runs
+	LookAlone       // starts isolated: nothing else begins on the worker meanwhile
 )
 
-// Doubt returns how a task of the group is to be started.
+// Doubt returns the degree of suspicion against a task of the group.
 func (g *Group) Doubt(k int) Doubt {
 	s := g.Suspicion(k)
 	switch {
 	case s == nil || s.Odds < suspectOdds:
 		return NoDoubt
-	case s.Odds >= aloneOdds || s.atMost() >= mostInCompany:
+	case s.Odds >= isolateOdds || s.possibleCrashes() >= isolateCrashes:
 		return LookAlone
 	}
 	return Suspect
@@ -175,8 +175,8 @@
 	return priorOdds
 }
 
-// Suspicion returns what is held against a task, nil for nothing. A gang's members are
-// suspected together, since they start and end together.
+// Suspicion returns the crash history of a task, nil for none. A gang's members share one, since
+// they start and end together.
 func (g *Group) Suspicion(k int) *Suspicion {
 	if g.Step().Gang {
 		return g.Suspected
@@ -184,8 +184,8 @@
 	return g.Tasks[k].Suspected
 }
 
-// suspicion returns the same, to be changed.
-func (g *Group) suspicion(k int) *Suspicion {
+// ensureSuspicion returns the crash history of a task for changes, creating it if there is none.
+func (g *Group) ensureSuspicion(k int) *Suspicion {
 	p := &g.Tasks[k].Suspected
 	if g.Step().Gang {
 		p = &g.Suspected
@@ -196,17 +196,18 @@
 	return *p
 }
 
-// awaitWitness lets a task in doubt that may be one crash from its end wait for the word of
-// an agent whose worker was lost under it: the lease may end before the next incarnation is
-// there. Started at once, the task would crash one worker more than its callers bear.
-func (s *State) awaitWitness(g *Group, k int, agent string) {
-	if sus := g.Suspicion(k); g.Doubt(k) == LookAlone && sus.atMost() >= mostInCompany-1 {
+// awaitCrashReport makes a suspect that may be one crash away from being given up wait for the
+// report of the agent whose worker was lost under it: the lease may end before the next
+// incarnation registers. Started without waiting, the task could crash one worker more than its
+// callers tolerate.
+func (s *State) awaitCrashReport(g *Group, k int, agent string) {
+	if sus := g.Suspicion(k); g.Doubt(k) == LookAlone && sus.possibleCrashes() >= isolateCrashes-1 {
 		sus.Awaits = agent
 	}
 }
 
-// witnessed ends the waiting for an agent that has registered.
-func (s *State) witnessed(agent string) {
+// stopAwaiting ends the wait for the crash report of an agent that has registered.
+func (s *State) stopAwaiting(agent string) {
 	for ref := range s.suspects {
 		if sus := s.group(ref).Suspicion(ref.Index); sus.Awaits == agent {
 			sus.Awaits = ""
@@ -214,30 +215,31 @@
 	}
 }
 
-// GivenUp is a task whose job ended since its workers crash.
+// GivenUp is a task that was given up, and its job failed, because its workers crash.
 type GivenUp struct {
 	Task    Ref
 	Crashes int
 	Odds    int64 // in millionths
 }
 
-// accused is a task, or a gang as one, that was at work on a crashed worker.
-type accused struct {
+// candidate is a possible cause of a crash: a task, or a gang as a whole, that was active on the
+// worker.
+type candidate struct {
 	run CrashedRun
-	// group is nil for a task that is unknown or over. It may have done it too.
+	// group is nil for a task that is unknown or over. It counts as a possible cause as well.
 	group *Group
-	// chance is the probability, in millionths, that it crashed the worker, by its odds so
-	// far and its age.
-	chance int64
+	// probability is the probability, in millionths, that it crashed the worker, given its odds
+	// so far and its age.
+	probability int64
 }
 
-// ApplyCrash weighs a worker's crash against the tasks that were at work there, and
-// returns those that are given up for it. It may be told more than once.
+// ApplyCrash updates the odds of the tasks that were active on a crashed worker, and returns those
+// that are given up for it. Applying the same crash again has no effect.
 func (s *State) ApplyCrash(c Crash, agent string, index uint64) (out []GivenUp) {
-	list := s.accuse(c.Runs)
-	total := ownRate * max(c.SpanMS, leastSpanMS)
+	list := s.candidates(c.Runs)
+	total := baseCrashRate * max(c.SpanMS, minSpanMS)
 	for i := range list {
-		total += list[i].chance
+		total += list[i].probability
 	}
 	for i := range list {
 		a := &list[i]
@@ -246,12 +248,12 @@
 		}
 		g, k := a.group, a.run.Task.Index
 		before := g.odds(k)
-		if !a.weigh(total-a.chance, agent) {
+		if !a.updateOdds(total-a.probability, agent) {
 			continue
 		}
-		s.reviewAccused(g, k)
+		s.updateCandidateSets(g, k)
 		sus := g.Suspicion(k)
-		if g.job.Phase.Over() || !sus.givesUp(before) {
+		if g.job.Phase.Over() || !sus.shouldGiveUp(before) {
 			continue
 		}
 		g.job.Why = fmt.Sprintf("task %v was given up: %d workers crashed under it", a.run.Task, sus.Crashes)
@@ -261,12 +263,12 @@
 	return out
 }
 
-// accuse lists the tasks that were at work on a crashed worker, gangs as one.
-func (s *State) accuse(runs []CrashedRun) []accused {
-	var list []accused
+// candidates lists the tasks that were active on a crashed worker, each gang once.
+func (s *State) candidates(runs []CrashedRun) []candidate {
+	var list []candidate
 	gangs := make(map[*Group]bool)
 	for _, r := range runs {
-		a := accused{run: r, group: s.group(r.Task)}
+		a := candidate{run: r, group: s.group(r.Task)}
 		odds := int64(priorOdds)
 		if g := a.group; g != nil {
 			if gangs[g] {
@@ -278,45 +280,46 @@
 				a.group = nil
 			}
 		}
-		a.chance = r.crashing() * odds / (one + odds)
+		a.probability = r.crashProbability() * odds / (oddsScale + odds)
 		list = append(list, a)
 	}
 	return list
 }
 
-// weigh turns a crash into odds, others being the probability that the worker crashed without
-// this task, in millionths. It reports whether the run was not counted before.
-func (a *accused) weigh(others int64, agent string) bool {
-	sus := a.group.suspicion(a.run.Task.Index)
+// updateOdds applies a crash to a task's odds. others is the probability, in millionths, that the
+// worker crashed from other causes. It reports false if the run was counted before.
+func (a *candidate) updateOdds(others int64, agent string) bool {
+	sus := a.group.ensureSuspicion(a.run.Task.Index)
 	if a.run.Run <= sus.Run {
 		return false
 	}
 	sus.Run, sus.Agent = a.run.Run, agent
 	switch {
-	case a.run.FromMS >= longAge:
+	case a.run.FromMS >= clearAgeMS:
 		sus.Crashes, sus.Unsure = 0, 0
 	case a.run.Unsure:
 		sus.Unsure++
 	default:
 		sus.Crashes++
 	}
-	odds := sus.Odds * surviving(a.run.FromMS) / one
-	sus.Odds = min(max(odds*(others+a.run.crashing())/others, priorOdds), mostOdds)
+	odds := sus.Odds * survivalAt(a.run.FromMS) / oddsScale
+	sus.Odds = min(max(odds*(others+a.run.crashProbability())/others, priorOdds), maxOdds)
 	return true
 }
 
-// reviewAccused brings the sets up to date with what is held against a task, or a gang.
-func (s *State) reviewAccused(g *Group, index int) {
+// updateCandidateSets updates the copyable and suspect sets for a task, or for all members if it
+// belongs to a gang.
+func (s *State) updateCandidateSets(g *Group, index int) {
 	for k := range g.Tasks {
 		if k == index || g.Step().Gang {
-			s.reviewCopy(g, k)
-			s.reviewSuspect(g, k)
+			s.updateCopyable(g, k)
+			s.updateSuspect(g, k)
 		}
 	}
 }
 
-// reviewSuspect enters a task into the set of suspects, or takes it out.
-func (s *State) reviewSuspect(g *Group, k int) {
+// updateSuspect adds a task to the set of suspects or removes it, as its state requires.
+func (s *State) updateSuspect(g *Group, k int) {
 	if g.Doubt(k) != NoDoubt && !g.Tasks[k].Done && !g.job.Phase.Over() {
 		s.suspects[g.ref(k)] = struct{}{}
 		return
@@ -324,5 +327,5 @@
 	delete(s.suspects, g.ref(k))
 }
 
-// Suspects returns the tasks that are in doubt and not done, in order.
+// Suspects returns the suspected tasks that are not done, in order.
 func (s *State) Suspects() []Ref { return sortedRefs(s.suspects) }
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -8,9 +8,9 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// crash tells that a worker crashed under runs that had been at work for so long, and
-// brings its next incarnation. It returns the tasks given up.
-func (w *world) crash(worker string, ageMS int64, runs ...Stop) []GivenUp {
+// crash reports that a worker crashed under runs of an age, and registers its next incarnation. It
+// returns the tasks given up.
+func (w *fixture) crash(worker string, ageMS int64, runs ...Stop) []GivenUp {
 	w.t.Helper()
 	ages := make(map[Stop]int64)
 	for _, r := range runs {
@@ -19,8 +19,8 @@
 	return w.crashAt(worker, ages)
 }
 
-// crashAt is the same with how long each run had been at work.
-func (w *world) crashAt(worker string, ages map[Stop]int64) []GivenUp {
+// crashAt is like crash with an age for each run.
+func (w *fixture) crashAt(worker string, ages map[Stop]int64) []GivenUp {
 	w.t.Helper()
 	c := Crash{Worker: worker, SpanMS: 10}
 	for r, age := range ages {
@@ -33,7 +33,7 @@
 }
 
 // startOn places a job's task on a worker and returns the run.
-func (w *world) startOn(worker string, ref Ref) Stop {
+func (w *fixture) startOn(worker string, ref Ref) Stop {
 	w.t.Helper()
 	if w.place(ref.Job, ref.Step, ref.Index, worker) != 1 {
 		w.t.Fatalf("%v was not placed on %s", ref, worker)
@@ -45,10 +45,10 @@
 
 func crashTask(i int) Ref { return Ref{Job: crashID, Index: i} }
 
-// A task crashes each worker right after its start. What ran beside it the first two times
-// is no longer beside it the third time, when it is given up; the others go on.
-func TestTaskIsGivenUpOnWhatItDidAlone(t *testing.T) {
-	w := newWorld(t, "w1", "w2", "w3")
+// A task crashes each worker right after its start. The runs beside it in the first two crashes
+// are not there in the third. The task must be given up then, and the others must go on.
+func TestTaskIsGivenUpAfterCrashingAlone(t *testing.T) {
+	w := newFixture(t, "w1", "w2", "w3")
 	w.submit(crashID, step(2, 1000))
 	w.submit("00000000000000c2", step(1, 1000))
 	other := Ref{Job: "00000000000000c2"}
@@ -59,23 +59,23 @@
 		}
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != LookAlone || g.Doubt(1) != LookAlone {
-		t.Fatalf("after two crashes the tasks are in doubt as %v and %v", g.Doubt(0), g.Doubt(1))
+		t.Fatalf("after two crashes the tasks have the doubts %v and %v", g.Doubt(0), g.Doubt(1))
 	}
 	out := w.crash("w3", 10, w.startOn("w3", crashTask(0)))
 	if len(out) != 1 || out[0].Task != crashTask(0) || w.Jobs[crashID].Phase != Failed || w.Jobs[crashID].Why == "" {
-		t.Fatalf("after the third crash, alone, given up %v, the job is %v: %s", out, w.Jobs[crashID].Phase, w.Jobs[crashID].Why)
+		t.Fatalf("after the third crash, without other runs, given up %v, the job is %v: %s", out, w.Jobs[crashID].Phase, w.Jobs[crashID].Why)
 	}
 	if w.Jobs["00000000000000c2"].Phase != Running && w.Jobs["00000000000000c2"].Phase != Queued {
-		t.Fatalf("the bystander's job is %v", w.Jobs["00000000000000c2"].Phase)
+		t.Fatalf("the job of the unrelated task is %v", w.Jobs["00000000000000c2"].Phase)
 	}
 	if n := len(w.Suspects()); n != 1 {
-		t.Errorf("%d suspects are left, want the bystander only", n)
+		t.Errorf("%d suspects are left, want only the unrelated task", n)
 	}
 }
 
-// Tasks that are always together can't be told from each other. They are given up with the
-// fifth crash at the latest: after the third their callers bear two starts more. One that
-// crashes its worker only after a while is not started for ever either.
+// Tasks that always run together cannot be distinguished. They must be given up with the fifth
+// crash at the latest, since callers tolerate two more starts after the third. A task that crashes
+// its worker only after a while must be given up at maxCrashes.
 func TestTasksAreGivenUpHoweverTheyCrash(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -88,15 +88,15 @@
 		{"saving", Step{Count: 2, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Checkpointing: true}, 10, 5},
 		{"after a fifth of a second", step(1, 500), 200, 5},
 		{"within a second", step(1, 500), 900, 5},
-		{"after a while", step(2, 500), 1500, anywayLimit},
-		{"after long", step(2, 500), 20_000, anywayLimit},
+		{"after a while", step(2, 500), 1500, maxCrashes},
+		{"after long", step(2, 500), 20_000, maxCrashes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, "w1")
+			w := newFixture(t, "w1")
 			w.submit(crashID, c.step)
 			for n := 1; n <= c.most; n++ {
 				if n == 3 && w.phase(crashID) == Failed {
-					t.Fatal("given up after two crashes in company")
+					t.Fatal("given up after two crashes beside another task")
 				}
 				var runs []Stop
 				for i := range c.step.Count {
@@ -115,9 +115,9 @@
 	}
 }
 
-// accusedFourTimes lets four workers crash under a task, each beside another that is known to
-// crash them.
-func accusedFourTimes(w *world, ref Ref) {
+// crashFourTimesBesideSuspects lets four workers crash under a task, each time beside a task that has
+// crashed workers before.
+func crashFourTimesBesideSuspects(w *fixture, ref Ref) {
 	for n := range 4 {
 		known := fmt.Sprintf("00000000000000d%d", n)
 		w.submit(known, step(1, 500))
@@ -128,10 +128,10 @@
 	}
 }
 
-// Guards against a task that is given up by a crash which speaks for it: it was looked at
-// alone, left its worker alone for the time of a look, and what began then crashed the worker.
-func TestACrashThatSpeaksForATaskDoesNotGiveItUp(t *testing.T) {
-	w := newWorld(t, "w1")
+// Guards against giving a task up for a crash that lowers its odds: its isolated run lasted, and a
+// task that began later on the worker crashed it.
+func TestCrashThatLowersOddsGivesNoTaskUp(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	w.submit(idA, step(1, 500))
 	for range 4 {
@@ -141,20 +141,20 @@
 	before := *g.Suspicion(0)
 	w.crashAt("w1", map[Stop]int64{w.startOn("w1", crashTask(0)): 650, w.startOn("w1", Ref{Job: idA}): 10})
 	if after := *g.Suspicion(0); w.phase(crashID) == Failed || after.Crashes != 5 || after.Odds < suspectOdds || after.Odds >= before.Odds {
-		t.Errorf("the job is %v, held against it were %+v and are %+v", w.phase(crashID), before, after)
+		t.Errorf("the job is %v, its task's suspicion was %+v and is %+v", w.phase(crashID), before, after)
 	}
 	if w.phase(idA) != Failed {
-		t.Errorf("the one that crashed five workers right after its start is %v", w.phase(idA))
+		t.Errorf("the job whose task crashed five workers right after its start is %v", w.phase(idA))
 	}
 	if w.crash("w1", 10, w.startOn("w1", crashTask(0))); w.phase(crashID) != Failed {
-		t.Errorf("after a crash alone the job is %v", w.phase(crashID))
+		t.Errorf("after a crash without other runs the job is %v", w.phase(crashID))
 	}
 }
 
-// Guards against a task that is given up by one crash in company, nothing having been held
-// against it before.
-func TestTheFirstSuspicionGivesNobodyUp(t *testing.T) {
-	w := newWorld(t, "w1")
+// Guards against giving a task up for one crash beside other tasks although it was not a suspect
+// before.
+func TestFirstSuspicionGivesNoTaskUp(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	for range 4 {
 		w.crash("w1", 2000, w.startOn("w1", crashTask(0)))
@@ -162,36 +162,36 @@
 	w.submit(idA, step(3, 500))
 	g := w.Jobs[crashID].Groups[0]
 	if g.Doubt(0) != NoDoubt || g.Suspicion(0).Crashes != 4 {
-		t.Fatalf("in doubt as %v: %+v", g.Doubt(0), *g.Suspicion(0))
+		t.Fatalf("the doubt is %v: %+v", g.Doubt(0), *g.Suspicion(0))
 	}
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)), w.startOn("w1", Ref{Job: idA}), w.startOn("w1", Ref{Job: idA, Index: 1}), w.startOn("w1", Ref{Job: idA, Index: 2}))
 	if w.phase(crashID) == Failed || g.Doubt(0) != LookAlone {
-		t.Errorf("the job is %v, its task in doubt as %v: %+v", w.phase(crashID), g.Doubt(0), *g.Suspicion(0))
+		t.Errorf("the job is %v, its task's doubt is %v: %+v", w.phase(crashID), g.Doubt(0), *g.Suspicion(0))
 	}
 }
 
-// Guards against a suspect that is started in company when the next crash gives it up.
-func TestASuspectOfFourCrashesIsLookedAtAlone(t *testing.T) {
-	w := newWorld(t, "w1")
+// Guards against starting a suspect beside other tasks when the next crash gives it up.
+func TestSuspectOfFourCrashesStartsIsolated(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
-	accusedFourTimes(w, crashTask(0))
+	crashFourTimesBesideSuspects(w, crashTask(0))
 	g := w.Jobs[crashID].Groups[0]
-	if s := g.Suspicion(0); s.Crashes != 4 || s.Odds < suspectOdds || s.Odds >= aloneOdds {
-		t.Fatalf("held against the task is %+v", *s)
+	if s := g.Suspicion(0); s.Crashes != 4 || s.Odds < suspectOdds || s.Odds >= isolateOdds {
+		t.Fatalf("the task's suspicion is %+v", *s)
 	}
 	if !g.OnlyAlone(0) {
-		t.Errorf("the task is in doubt as %v, and may start in company", g.Doubt(0))
+		t.Errorf("the task's doubt is %v, and it may start beside other tasks", g.Doubt(0))
 	}
 }
 
-// Guards against a task that is started more often than its callers bear since one of its
-// starts went unanswered and crashed its worker all the same.
-func TestAnUnansweredStartIsOneOfTheLast(t *testing.T) {
-	w := newWorld(t, "w1")
+// Guards against starting a task more often than its callers tolerate because one of its starts was
+// not answered although it crashed its worker.
+func TestUnansweredStartCountsTowardsTheLimit(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(2, 500))
 	for n := 1; n <= 5; n++ {
 		if w.phase(crashID) == Failed {
-			t.Fatalf("given up before crash %d, always in company", n)
+			t.Fatalf("given up before crash %d, always beside another suspect", n)
 		}
 		c := Crash{Worker: "w1", SpanMS: 10}
 		for i := range 2 {
@@ -203,17 +203,17 @@
 		w.register("w1", "agent-w1", "life-3")
 	}
 	if w.phase(crashID) != Failed {
-		t.Errorf("after five starts, of which one went unanswered, the job is %v: %+v", w.phase(crashID), *w.Jobs[crashID].Groups[0].Suspicion(0))
+		t.Errorf("after five starts, one of them unanswered, the job is %v: %+v", w.phase(crashID), *w.Jobs[crashID].Groups[0].Suspicion(0))
 	}
 }
 
-// Guards against a task that is given up for starts that may never have taken effect: two
-// workers have to have crashed under it for certain.
-func TestUnansweredStartsAloneGiveNobodyUp(t *testing.T) {
-	w := newWorld(t, "w1")
+// Guards against giving a task up for starts that may never have taken effect: two workers must
+// certainly have crashed under it.
+func TestUnansweredStartsAloneGiveNoTaskUp(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
-	for range anywayLimit {
+	for range maxCrashes {
 		run := w.startOn("w1", crashTask(0))
 		c := Crash{Worker: "w1", SpanMS: 10, Runs: []CrashedRun{{Task: run.Task, Run: run.Run, ToMS: 10, Unsure: true}}}
 		w.register("w1'", "agent-w1", "life-2")
@@ -221,14 +221,14 @@
 		w.register("w1", "agent-w1", "life-3")
 	}
 	if w.phase(crashID) == Failed {
-		t.Errorf("given up after one crash for certain: %+v", *w.Jobs[crashID].Groups[0].Suspicion(0))
+		t.Errorf("given up after one certain crash: %+v", *w.Jobs[crashID].Groups[0].Suspicion(0))
 	}
 }
 
-// A task that works for four seconds meets four crashes of workers that go down by
-// themselves, at other moments each, beside tasks that have just begun. It is not given up.
-func TestOrdinaryCrashesGiveNobodyUp(t *testing.T) {
-	w := newWorld(t, "w1")
+// A task that runs for four seconds sees four crashes that no task caused, each at another age and
+// beside tasks that have just begun. It must not be given up.
+func TestOrdinaryCrashesGiveNoTaskUp(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	for n, age := range []int64{900, 2600, 100, 3900} {
 		begun := fmt.Sprintf("00000000000000d%d", n)
@@ -240,30 +240,30 @@
 	}
 }
 
-// One that is known to crash its workers explains a crash: a bystander that has just begun
-// is suspected hardly more than before.
+// If a task with earlier crashes was on the worker, it is the likely cause: the odds of another task
+// that had just begun must hardly rise.
 func TestAKnownSuspectExplainsACrash(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	w.submit(idA, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", Ref{Job: idA}))
 	alone := w.Jobs[idA].Groups[0].Suspicion(0).Odds
-	w = newWorld(t, "w1")
+	w = newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	w.submit(idA, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)), w.startOn("w1", Ref{Job: idA}))
 	if beside := w.Jobs[idA].Groups[0].Suspicion(0).Odds; beside*20 > alone {
-		t.Errorf("beside a suspect a bystander has odds of %d millionths after one crash, alone %d", beside, alone)
+		t.Errorf("beside a suspect a task has odds of %d millionths after one crash, without other runs %d", beside, alone)
 	}
 }
 
-// The agent's word may come twice, by the same call sent again, or after the lease's end
-// has made the runs void and the next ones have begun.
+// An agent's crash report may arrive twice, because the call is sent again, or only after the end of
+// the lease has made the runs void and the next ones have begun.
 func TestACrashCountsOnceHoweverOftenAndLateItIsTold(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(1, 500))
 	first := w.startOn("w1", crashTask(0))
 	w.lose("w1")
@@ -275,53 +275,53 @@
 		t.Fatalf("one crash was counted as %+v", *s)
 	}
 	if w.Jobs[crashID].Groups[0].Tasks[0].Placed == nil {
-		t.Error("the run under way was taken away")
+		t.Error("the active run was removed")
 	}
-	// A run that never was, of an agent with strange books, counts nothing.
+	// Runs that never existed, reported by an agent with wrong state, must not count.
 	w.ApplyCrash(Crash{Worker: "w2", Runs: []CrashedRun{{Task: crashTask(0), Run: 77}, {Task: Ref{Job: "nobody's"}, Run: 1}}}, "agent-w2", w.next())
 	if s := w.Jobs[crashID].Groups[0].Suspicion(0); s.Crashes != 1 {
-		t.Fatalf("a run that never was counted: %+v", *s)
+		t.Fatalf("a run that never existed was counted: %+v", *s)
 	}
 }
 
-// A lapse, a stop, a rejected start and an own failure are no crash.
-func TestOtherEndsAccuseNobody(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+// A lapsed lease, a replaced incarnation without a crash report and a rejected start are not crashes.
+func TestOtherEndsRaiseNoSuspicion(t *testing.T) {
+	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(1, 500))
 	for range 3 {
 		w.startOn("w1", crashTask(0))
 		w.lose("w1")
 		w.register("w1", "agent-w1", "life-1")
 		w.startOn("w2", crashTask(0))
-		w.register("w2'", "agent-w2", "life-1") // another incarnation, of which nobody says that it crashed
+		w.register("w2'", "agent-w2", "life-1") // another incarnation, without a crash report
 		w.register("w2", "agent-w2", "life-1")
 		run := w.startOn("w1", crashTask(0))
 		w.ApplyEnd("w1", End{Task: run.Task, Run: run.Run, Outcome: OutcomeRejected}, rules, w.next())
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != NoDoubt || w.Jobs[crashID].Phase == Failed {
-		t.Fatalf("in doubt as %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
+		t.Fatalf("the doubt is %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
 	}
 }
 
-// A standing task meets ordinary crashes all its life. One that was at work for long before
-// the crash is cleared by that.
+// A standing task sees ordinary crashes over its whole run time. A long run before a crash must clear
+// it of suspicion.
 func TestLongWorkClearsAStandingTask(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(crashID, Step{Count: 1, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Standing: true})
 	for range 6 {
 		w.crash("w1", 10, w.startOn("w1", crashTask(0)))
-		w.crash("w1", longAge+10, w.startOn("w1", crashTask(0)))
-		w.crash("w1", longAge+10, w.startOn("w1", crashTask(0)))
+		w.crash("w1", clearAgeMS+10, w.startOn("w1", crashTask(0)))
+		w.crash("w1", clearAgeMS+10, w.startOn("w1", crashTask(0)))
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != NoDoubt || w.Jobs[crashID].Phase != Running {
-		t.Fatalf("in doubt as %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
+		t.Fatalf("the doubt is %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
 	}
 }
 
-// A rack with three members of a gang goes down at once: that is one crash under the gang,
-// not three.
+// A rack with three members of a gang fails: the three workers must count as one crash under the
+// gang.
 func TestOneRunOfAGangIsOneCrash(t *testing.T) {
-	w := newWorld(t, "w1", "w2", "w3")
+	w := newFixture(t, "w1", "w2", "w3")
 	w.submit(crashID, Step{Count: 3, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Gang: true})
 	p := Plan{Placements: []Placement{{Job: crashID, Indexes: []int{0, 1, 2}, Workers: []string{"w1", "w2", "w3"}}}}
 	if placed, _ := w.ApplyPlan(p, rules, w.next()); placed != 3 {
@@ -335,10 +335,10 @@
 	}
 }
 
-// Two members of a gang on one worker are one suspect: counted as two each would explain the
-// crash for the other.
+// Two members of a gang on one worker must count as one candidate. As two, each would lower the
+// odds of the other.
 func TestMembersOnOneWorkerAreOneSuspect(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(crashID, Step{Count: 2, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Gang: true})
 	p := Plan{Placements: []Placement{{Job: crashID, Indexes: []int{0, 1}, Workers: []string{"w1", "w1"}}}}
 	if placed, _ := w.ApplyPlan(p, rules, w.next()); placed != 2 {
@@ -348,13 +348,13 @@
 	w.submit(idA, step(1, 500))
 	w.crash("w1", 10, w.startOn("w1", Ref{Job: idA}))
 	if gang, task := w.Jobs[crashID].Groups[0].Suspicion(0).Odds, w.Jobs[idA].Groups[0].Suspicion(0).Odds; gang != task {
-		t.Errorf("the gang has odds of %d millionths, a task alone %d", gang, task)
+		t.Errorf("the gang has odds of %d millionths, a single task %d", gang, task)
 	}
 }
 
-// A suspect gets no copy: it would crash two workers at once.
+// A suspect must not get a copy, which could crash a second worker at the same time.
 func TestASuspectGetsNoCopy(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, Step{Count: 1, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Speculative: true})
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	w.startOn("w2", crashTask(0))
@@ -364,9 +364,9 @@
 	}
 }
 
-// What is held against a task outlives snapshots, and a snapshot without any is read.
+// A task's suspicion must survive a snapshot, and a snapshot without suspicions must load.
 func TestSuspicionsAreKeptInSnapshots(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(1, 500))
 	older, err := msgpack.Marshal(w.State)
 	if err != nil {
@@ -388,15 +388,15 @@
 		}
 		s.Rebuild()
 		if got := s.Jobs[crashID].Groups[0].Doubt(0); got != c.want || len(s.Suspects()) != c.n {
-			t.Errorf("in doubt as %v with %d suspects, want %v with %d", got, len(s.Suspects()), c.want, c.n)
+			t.Errorf("the doubt is %v with %d suspects, want %v with %d", got, len(s.Suspects()), c.want, c.n)
 		}
 	}
 }
 
-// A worker is lost under a task that may be one crash from its end, and its lease ends
-// before the next incarnation is there. The task waits for what the agent has to tell.
-func TestATaskAwaitsTheWordOfItsLostWorker(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+// A worker is lost under a suspect that may be one crash from being given up, and its lease ends
+// before the next incarnation registers. The task must wait for the agent's crash report.
+func TestTaskAwaitsCrashReportOfItsLostWorker(t *testing.T) {
+	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(2, 500))
 	w.submit(idA, step(1, 500))
 	for range 3 {
@@ -410,10 +410,10 @@
 		t.Fatalf("the task awaits %q", got)
 	}
 	if w.Jobs[idA].Groups[0].Suspicion(0) != nil {
-		t.Error("a task that nothing is held against awaits somebody")
+		t.Error("a task without suspicion awaits a crash report")
 	}
 	w.crash("w1", 10, last)
 	if s := g.Suspicion(0); w.phase(crashID) != Failed && s.Awaits != "" {
-		t.Errorf("after its word the task still awaits: %+v", *s)
+		t.Errorf("after the crash report the task still awaits it: %+v", *s)
 	}
 }
--- a/jobs/fuzz_test.go
+++ b/jobs/fuzz_test.go
@@ -14,34 +14,34 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-var fuzzRuns = flag.Int("runs", 60, "sequences that the stateful fuzz plays")
+var fuzzRuns = flag.Int("runs", 60, "number of command sequences of the stateful fuzz test")
 
-// player drives a state with random commands beside an oracle that knows only
-// what workers would have been told: which run of a task is where.
-type player struct {
-	*world
+// fuzzer applies random commands to a state and keeps an oracle that knows only what workers would
+// have been sent: which run of a task is where.
+type fuzzer struct {
+	*fixture
 	rng     *rand.Rand
 	running map[Ref]map[uint32]string // runs without a committed end, by task
 	done    map[Ref]bool
 	log     []string
 }
 
-func (p *player) note(format string, args ...any) {
+func (p *fuzzer) logf(format string, args ...any) {
 	p.log = append(p.log, fmt.Sprintf(format, args...))
 }
 
-func (p *player) pickJob() string { return fmt.Sprintf("%016x", p.rng.Intn(6)) }
+func (p *fuzzer) pickJob() string { return fmt.Sprintf("%016x", p.rng.Intn(6)) }
 
-func (p *player) pickWorker() string { return fmt.Sprintf("w%d", p.rng.Intn(3)) }
+func (p *fuzzer) pickWorker() string { return fmt.Sprintf("w%d", p.rng.Intn(3)) }
 
-func (p *player) act() {
+func (p *fuzzer) runCommand() {
 	switch p.rng.Intn(10) {
 	case 0:
 		p.doSubmit()
 	case 1:
 		if p.rng.Intn(4) == 0 {
 			id := p.pickJob()
-			p.note("cancel %s", id)
+			p.logf("cancel %s", id)
 			p.ApplyCancel(id, p.next())
 		}
 	case 2:
@@ -55,17 +55,17 @@
 	}
 }
 
-func (p *player) doSubmit() {
+func (p *fuzzer) doSubmit() {
 	id := p.pickJob()
 	a := step(1+p.rng.Intn(4), int64(500+p.rng.Intn(2500)))
 	a.Checkpointing, a.MaxPerWorker, a.Speculative = p.rng.Intn(2) == 0, p.rng.Intn(3), p.rng.Intn(2) == 0
 	b := step(1+p.rng.Intn(3), int64(500+p.rng.Intn(2000)))
 	b.DependsOn, b.Gang, b.Fills = []int{0}, p.rng.Intn(3) == 0, p.rng.Intn(3) == 0
-	p.note("submit %s", id)
+	p.logf("submit %s", id)
 	p.ApplySubmit(Submit{ID: id, Host: host, Prefix: prefix, Spec: Spec{Steps: []Step{a, b}}}, p.next(), 0)
 }
 
-func (p *player) doPlan() {
+func (p *fuzzer) doPlan() {
 	g := p.group(Ref{p.pickJob(), 0, p.rng.Intn(2), 0})
 	if g == nil {
 		return
@@ -86,7 +86,7 @@
 				continue
 			}
 			ref := g.ref(i)
-			p.note("placed %v run %d on %s", ref, r.Run, r.Worker)
+			p.logf("placed %v run %d on %s", ref, r.Run, r.Worker)
 			if p.running[ref] == nil {
 				p.running[ref] = make(map[uint32]string)
 			}
@@ -95,7 +95,7 @@
 	}
 }
 
-func (p *player) doEnd() {
+func (p *fuzzer) doEnd() {
 	var refs []Ref
 	for ref, runs := range p.running {
 		if len(runs) > 0 {
@@ -110,7 +110,7 @@
 	run := p.pickRun(ref)
 	worker := p.running[ref][run]
 	o := Outcome(1 + p.rng.Intn(5))
-	p.note("end %v run %d on %s: %v", ref, run, worker, o)
+	p.logf("end %v run %d on %s: %v", ref, run, worker, o)
 	p.end(worker, ref, run, o, "saved")
 	if o == OutcomeDone {
 		p.done[ref] = true
@@ -118,14 +118,14 @@
 	delete(p.running[ref], run)
 }
 
-func (p *player) pickRun(ref Ref) uint32 {
+func (p *fuzzer) pickRun(ref Ref) uint32 {
 	runs := slices.Sorted(maps.Keys(p.running[ref]))
 	return runs[p.rng.Intn(len(runs))]
 }
 
-func (p *player) doLose() {
+func (p *fuzzer) doLose() {
 	id := p.pickWorker()
-	p.note("lose %s", id)
+	p.logf("lose %s", id)
 	p.lose(id)
 	for _, runs := range p.running {
 		for run, worker := range runs {
@@ -137,8 +137,8 @@
 	p.register(id, "agent-"+id, fmt.Sprint(p.index))
 }
 
-// check compares the state with the oracle and with itself.
-func (p *player) check() error {
+// check compares the state with the oracle and checks its internal consistency.
+func (p *fuzzer) check() error {
 	for ref, runs := range p.running {
 		if err := p.checkRuns(ref, runs); err != nil {
 			return err
@@ -162,9 +162,9 @@
 	return nil
 }
 
-// checkRuns allows a second run on another worker where the step allows copies, and
-// none that goes on unasked to stop once the task is done.
-func (p *player) checkRuns(ref Ref, runs map[uint32]string) error {
+// checkRuns checks that a task has at most one run, or two on different workers if its step allows
+// copies, and that all runs of a done task have been ordered to stop.
+func (p *fuzzer) checkRuns(ref Ref, runs map[uint32]string) error {
 	most := 1
 	if p.step(ref).Speculative {
 		most = 2
@@ -173,33 +173,33 @@
 	for run, worker := range runs {
 		r := p.group(ref).Tasks[ref.Index].On(worker)
 		if r == nil || r.Run != run {
-			return fmt.Errorf("%v run %d on %s holds no room", ref, run, worker)
+			return fmt.Errorf("%v run %d on %s holds no capacity", ref, run, worker)
 		}
 		if p.done[ref] && !r.Stopping {
-			return fmt.Errorf("%v is done and run %d on %s goes on", ref, run, worker)
+			return fmt.Errorf("%v is done, but run %d on %s is not stopping", ref, run, worker)
 		}
 		on[worker] = true
 	}
 	if len(runs) > most || len(on) < len(runs) {
-		return fmt.Errorf("%v has the runs %v at once", ref, runs)
+		return fmt.Errorf("%v has the runs %v at the same time", ref, runs)
 	}
 	return nil
 }
 
-func (p *player) checkTask(g *Group, i int, held map[string]resource.Vector) error {
+func (p *fuzzer) checkTask(g *Group, i int, held map[string]resource.Vector) error {
 	t, ref := &g.Tasks[i], g.ref(i)
 	if p.done[ref] && !t.Done {
-		return fmt.Errorf("%v was told to be done and is open again", ref)
+		return fmt.Errorf("%v was reported done and is open again", ref)
 	}
 	if t.Placed == nil {
 		if len(p.running[ref]) > 0 {
-			return fmt.Errorf("%v may still run and its room is free", ref)
+			return fmt.Errorf("%v may still run, but its capacity is free", ref)
 		}
 		return nil
 	}
 	for _, r := range t.Runs() {
 		if p.running[ref][r.Run] != r.Worker {
-			return fmt.Errorf("%v holds room for a run that nobody was told of", ref)
+			return fmt.Errorf("%v holds capacity for a run that no worker was sent", ref)
 		}
 	}
 	for _, d := range g.Step().DependsOn {
@@ -208,7 +208,7 @@
 		}
 	}
 	if limit := g.Step().MaxPerWorker; limit > 0 && p.countOn(g, t.Placed.Worker) > limit {
-		return fmt.Errorf("%v has more than %d neighbours of its step", ref, limit)
+		return fmt.Errorf("%v shares its worker with too many tasks of its step, the limit is %d", ref, limit)
 	}
 	need, _ := heldBy(g.Step())
 	for _, r := range t.Runs() {
@@ -217,18 +217,18 @@
 	return nil
 }
 
-// Jobs, plans made from nothing, ends in any order, lost workers and
-// cancellations come at random. At no time may a task have two runs that were
-// not told to have ended, a worker more than it has, a step a task before the
-// one that it depends on is done, or a task that is done open again.
+// Applies submissions, arbitrary plans, ends in any order, worker losses and cancellations at
+// random. At no time may a task have more runs than allowed without a reported end, a worker hold
+// more than its capacity, a task start before the steps it depends on are done, or a done task be
+// open again.
 func TestRandomCommandsKeepEveryTaskInOnePlace(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(7)
 	params.MinSuccessfulTests = *fuzzRuns
 	properties := gopter.NewProperties(params)
-	properties.Property("one run a task, no worker over its room", prop.ForAll(func(seed int64) (bool, error) {
-		p := &player{world: newWorld(t, "w0", "w1", "w2"), rng: rand.New(rand.NewSource(seed)), running: make(map[Ref]map[uint32]string), done: make(map[Ref]bool)}
+	properties.Property("one run per task, no worker over its capacity", prop.ForAll(func(seed int64) (bool, error) {
+		p := &fuzzer{fixture: newFixture(t, "w0", "w1", "w2"), rng: rand.New(rand.NewSource(seed)), running: make(map[Ref]map[uint32]string), done: make(map[Ref]bool)}
 		for range 400 {
-			p.act()
+			p.runCommand()
 			if err := p.check(); err != nil {
 				t.Logf("seed %d:\n%v", seed, p.log)
 				return false, err
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -10,13 +10,13 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Rules are looked up in the configuration in force while a command is applied.
+// Rules looks up the configuration in force while a command is applied.
 type Rules struct {
 	// Service returns the service that a queue's jobs run on, "" for none.
 	Service func(host, prefix string) string
-	// Cordoned reports whether nothing new may begin in a data centre.
+	// Cordoned reports whether no new run may begin in a data centre.
 	Cordoned func(dataCentre string) bool
-	// MaxAttempts returns how often a queue's task may fail.
+	// MaxAttempts returns how often a queue's task may fail, 0 for no limit.
 	MaxAttempts func(host, prefix string) int
 }
 
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// RunOn names the run that a task has on a worker, with the number 0 for none.
+// RunOn identifies the run that a task has on a worker, with the number 0 for none.
 func (s *State) RunOn(ref Ref, worker string) Stop {
 	st := Stop{Task: ref}
 	if r := s.group(ref).Tasks[ref.Index].On(worker); r != nil {
@@ -59,8 +59,8 @@
 	return r.Index < o.Index
 }
 
-// vacate frees the room of a task's run on a worker that has certainly ended.
-func (s *State) vacate(ref Ref, t *Task, worker string) {
+// removeRun removes a task's run on a worker, which has certainly ended, and frees its capacity.
+func (s *State) removeRun(ref Ref, t *Task, worker string) {
 	g, r := s.group(ref), t.On(worker)
 	s.release(ref, r)
 	t.clear(r)
@@ -68,14 +68,13 @@
 	if t.waits() {
 		g.waiting++
 	}
-	s.reviewCopy(g, ref.Index)
-	s.review(g)
+	s.updateCopyable(g, ref.Index)
+	s.updateReady(g)
 }
 
-// ApplyPlan takes over what of a plan still holds and returns how many tasks it
-// placed and how many it passed over. The plan was made from a snapshot; only
-// the checks made here, on the state at the plan's place in the log, keep a
-// worker from being given more than it has.
+// ApplyPlan applies the parts of a plan that are still valid and returns how many tasks it
+// placed and how many it skipped. The plan was made from a snapshot; only the checks made here,
+// on the state at the plan's index in the log, keep workers from being overcommitted.
 func (s *State) ApplyPlan(p Plan, rules Rules, index uint64) (placed, stale int) {
 	for _, st := range p.Stops {
 		s.applyStop(st, index)
@@ -96,8 +95,8 @@
 	for _, r := range g.Tasks[st.Task.Index].Runs() {
 		if r.Run == st.Run && !r.Stopping {
 			r.Stopping = true
-			s.change(r, index)
-			s.reviewCopy(g, st.Task.Index)
+			s.markChanged(r, index)
+			s.updateCopyable(g, st.Task.Index)
 		}
 	}
 }
@@ -125,19 +124,18 @@
 	return placed
 }
 
-// cordoned reports whether a worker stands in a data centre that is out of service.
+// cordoned reports whether a worker is in a data centre that is cordoned.
 func (s *State) cordoned(worker string, rules Rules) bool {
 	w := s.Workers[worker]
 	return w != nil && rules.Cordoned(w.DataCentre)
 }
 
-// mayStart reports whether a task needs a run, or with copied set may have a second
-// one on a worker.
+// mayStart reports whether a task needs a run or, with copied set, may have a copy on a worker.
 func (s *State) mayStart(g *Group, k int, worker string, copied bool) bool {
 	if !copied {
 		return g.Tasks[k].waits()
 	}
-	return g.takesCopy(k) && g.Tasks[k].Placed.Worker != worker
+	return g.mayCopy(k) && g.Tasks[k].Placed.Worker != worker
 }
 
 // placeGang places all tasks of a gang under one run number, or none.
@@ -158,7 +156,7 @@
 	return len(p.Indexes)
 }
 
-// gangFits reports whether all members fit together, before any is placed.
+// gangFits reports whether the workers can hold all members of a gang together.
 func (s *State) gangFits(g *Group, p *Placement, service string) bool {
 	need, _ := heldBy(g.Step())
 	members := make(map[string]int64)
@@ -209,7 +207,7 @@
 	return n
 }
 
-// place gives a task a run, or a copy if it has one.
+// place gives a task a run, or a copy if it already has a run.
 func (s *State) place(g *Group, k int, r Placed, index uint64) {
 	t := &g.Tasks[k]
 	t.Run = r.Run
@@ -219,27 +217,27 @@
 	} else {
 		t.Copy = &r
 	}
-	s.change(&r, index)
-	s.take(g.ref(k), t, &r)
-	s.reviewCopy(g, k)
+	s.markChanged(&r, index)
+	s.reserve(g.ref(k), t, &r)
+	s.updateCopyable(g, k)
 	g.job.active++
 	if g.job.Phase == Queued {
 		s.setPhase(g.job, Running)
 	}
-	s.review(g)
+	s.updateReady(g)
 }
 
-// Ended is what the end of a run did.
+// Ended is the result of applying the end of a run.
 type Ended struct {
-	// Late says that the run held no room any more: it had been made void, or the end is told
-	// again. Such ends change nothing, but for doneAfterAll.
+	// Late is set if the run held no capacity any more: it had been made void, or the end is
+	// reported again. Such an end changes nothing, except for the cases of applyLateDone.
 	Late bool
-	// Overtaken says that the run is done, and that a later one of its task has been ordered or
+	// Overtaken is set if the run is done although a later run of its task has been ordered or
 	// will be.
 	Overtaken bool
 }
 
-// ApplyEnd takes in the end of a run.
+// ApplyEnd applies the end of a run.
 func (s *State) ApplyEnd(worker string, e End, rules Rules, index uint64) Ended {
 	g := s.group(e.Task)
 	if g == nil {
@@ -247,34 +245,34 @@
 	}
 	t := &g.Tasks[e.Task.Index]
 	if r := t.On(worker); r == nil || r.Run != e.Run {
-		s.doneAfterAll(g, e, index)
-		return Ended{Late: true, Overtaken: g.overtook(e)}
+		s.applyLateDone(g, e, index)
+		return Ended{Late: true, Overtaken: g.overtaken(e)}
 	}
 	if e.Checkpoint != "" && g.Step().Checkpointing {
-		s.keepCheckpoint(g, t, e.Checkpoint)
+		s.saveCheckpoint(g, t, e.Checkpoint)
 	}
 	if e.Outcome == OutcomeDone && !g.Step().Standing {
-		s.finish(g, e.Task.Index)
+		s.markDone(g, e.Task.Index)
 	}
-	s.vacate(e.Task, t, worker)
+	s.removeRun(e.Task, t, worker)
 	if g.job.Phase.Over() {
 		return Ended{}
 	}
 	if t.Done {
-		s.stopRuns(t, index) // a copy has nothing left to do
+		s.stopRuns(t, index) // the task's other run is redundant
 	}
 	switch {
 	case e.Outcome == OutcomeDone:
-		s.completed(g)
+		s.advanceJob(g)
 	case e.Outcome == OutcomeFailed && !g.Step().Standing && !t.Done:
-		s.failed(g, t, rules, index)
+		s.countFailure(g, t, rules, index)
 	}
 	return Ended{}
 }
 
-// overtook reports whether a task whose run has ended as done has a later run all the same. A gang
-// whose late end isn't taken for done begins anew.
-func (g *Group) overtook(e End) bool {
+// overtaken reports whether a run ended as done although its task has a later run or will get one.
+// A gang is started again if a late end of one member does not count as done.
+func (g *Group) overtaken(e End) bool {
 	st, t := g.Step(), &g.Tasks[e.Task.Index]
 	if e.Outcome != OutcomeDone || st.Standing || st.Speculative {
 		return false
@@ -282,11 +280,11 @@
 	return t.Run > e.Run || (st.Gang && !t.Done)
 }
 
-// doneAfterAll takes in that a run has ended as done which had been given up for lost, or was
-// started late by an order that was: its worker reported nothing for a whole lease, or started
-// again. The end is acknowledged on this, so the task must not be started any more: if it has been
-// placed again, what is there is stopped, and never begins if its start is still on the way.
-func (s *State) doneAfterAll(g *Group, e End, index uint64) {
+// applyLateDone handles a done end of a run that was assumed lost, because its worker reported
+// nothing for a whole lease or restarted, or whose order was assumed lost and took effect late. The
+// end is acknowledged to the worker, so the task must not be started again: if it has been placed
+// again, its newer runs are stopped, and a start that is still in transit never begins.
+func (s *State) applyLateDone(g *Group, e End, index uint64) {
 	st, t := g.Step(), &g.Tasks[e.Task.Index]
 	if e.Outcome != OutcomeDone || st.Standing || st.Gang || t.Done || g.job.Phase.Over() {
 		return
@@ -297,17 +295,17 @@
 	case t.Placed != nil && e.Run < t.Placed.Run:
 		s.stopRuns(t, index)
 	default:
-		return // never ordered
+		return // such a run was never ordered
 	}
-	s.finish(g, e.Task.Index)
-	s.reviewCopy(g, e.Task.Index)
-	s.review(g)
-	s.completed(g)
+	s.markDone(g, e.Task.Index)
+	s.updateCopyable(g, e.Task.Index)
+	s.updateReady(g)
+	s.advanceJob(g)
 }
 
-// keepCheckpoint saves progress. A gang's members must all resume from the same
-// place, and any member's checkpoint is good for all.
-func (s *State) keepCheckpoint(g *Group, t *Task, checkpoint string) {
+// saveCheckpoint stores a task's checkpoint. A gang's members must all resume from the same
+// point, and any member's checkpoint is valid for all.
+func (s *State) saveCheckpoint(g *Group, t *Task, checkpoint string) {
 	if !g.Step().Gang {
 		t.Checkpoint = checkpoint
 		return
@@ -317,13 +315,13 @@
 	}
 }
 
-// finish marks a task done; a gang ends together, so one end stands for all.
-func (s *State) finish(g *Group, k int) {
+// markDone marks a task done. A gang ends together, so the end of one member marks all.
+func (s *State) markDone(g *Group, k int) {
 	if !g.Step().Gang {
 		if t := &g.Tasks[k]; !t.Done {
 			t.Done = true
 			g.done++
-			s.reviewSuspect(g, k)
+			s.updateSuspect(g, k)
 		}
 		return
 	}
@@ -334,13 +332,14 @@
 			}
 			m.Done = true
 			g.done++
-			s.reviewSuspect(g, k)
+			s.updateSuspect(g, k)
 		}
 	}
 }
 
-// completed looks what a finished group allows to begin.
-func (s *State) completed(g *Group) {
+// advanceJob updates which groups are ready after a group has finished, and completes the job after
+// the last one.
+func (s *State) advanceJob(g *Group) {
 	if g.done < len(g.Tasks) {
 		return
 	}
@@ -350,7 +349,7 @@
 		if other.done < len(other.Tasks) {
 			remaining++
 		}
-		s.review(other)
+		s.updateReady(other)
 	}
 	if remaining == 0 && !j.Phase.Over() {
 		s.setPhase(j, Completed)
@@ -358,8 +357,8 @@
 	}
 }
 
-// failed counts a failed run and ends the job when no more are allowed.
-func (s *State) failed(g *Group, t *Task, rules Rules, index uint64) {
+// countFailure counts a failed run, for a gang as a whole, and fails the job at the limit.
+func (s *State) countFailure(g *Group, t *Task, rules Rules, index uint64) {
 	n := 0
 	if g.Step().Gang {
 		g.Failures++
@@ -374,8 +373,7 @@
 	}
 }
 
-// Orders returns what changed for a worker after a log index, in the order of
-// the decisions.
+// Orders returns the orders for a worker that changed after a log index, sorted by task.
 func (s *State) Orders(worker string, since uint64) []Order {
 	u := s.use[worker]
 	if u == nil {
@@ -401,7 +399,7 @@
 	return out
 }
 
-// State of a job as callers ask for it.
+// Lookup returns the phase of a queue's job, or a refusal if the queue has no such job.
 func (s *State) Lookup(host, prefix, id string) (Phase, error) {
 	j := s.Jobs[id]
 	if j == nil || j.Host != host || j.Prefix != prefix {
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -13,40 +13,41 @@
 type State struct {
 	Jobs    map[string]*Job    `msgpack:"j"`
 	Workers map[string]*Worker `msgpack:"w"` // by worker id
-	// Stood are the data centres in which workers of a service stand or have stood, in
-	// order. One that is only being restarted counts.
+	// Stood lists, by service, the data centres in which its workers are or have been, sorted. It
+	// keeps a data centre whose only worker is being restarted.
 	Stood map[string][]string `msgpack:"s,omitempty"`
-	// Tokens are the highest fencing tokens with which agents have registered, by agent. They
-	// outlive the registrations: what comes late must not be taken for new.
+	// Tokens holds, by agent, the highest fencing token with which it has registered. Entries
+	// outlive the registrations, so that delayed registrations are not taken for new ones.
 	Tokens map[string]uint64 `msgpack:"t,omitempty"`
-	// Beside are the workers that agents have registered last, by agent, lost ones too.
+	// Beside holds, by agent, the worker that it registered last, even if that was lost since.
 	Beside map[string]string `msgpack:"b,omitempty"`
 
-	byAgent map[string]*Worker
-	use     map[string]*Use // by worker id
-	ready   map[*Group]struct{}
-	alone   map[Ref]struct{} // tasks at work that may have a copy and have none
-	// suspects are the tasks under which workers crashed
+	byAgent  map[string]*Worker
+	use      map[string]*Use // by worker id
+	ready    map[*Group]struct{}
+	copyable map[Ref]struct{} // running tasks that may have a copy and have none
+	// suspects are the tasks suspected of crashing their workers.
 	suspects map[Ref]struct{}
 	pending  map[string]int // jobs without a started task, by host and prefix
 	live     int
 	touched  []string // workers whose orders changed
 }
 
-// Use is what the runs on one worker hold.
+// Use is the capacity that the runs on one worker hold. CPU amounts are in thousandths of a
+// processor.
 type Use struct {
-	// Held is the sum of the needs, without the processors of filling runs.
+	// Held is the sum of the needs, without the CPU of filling runs.
 	Held resource.Vector
-	// Filling is the processors that filling runs would use if they could.
+	// Filling is the CPU that filling runs would use if it were available.
 	Filling int64
 	Runs    map[Ref]*Task
 	// Serving counts, by image, the runs that have a target for their tail
-	// latency, and ServingCPU sums up the processors that they hold.
+	// latency, and ServingCPU is the CPU that they hold.
 	Serving    map[string]int
 	ServingCPU int64
-	// StandingCPU is the processors that standing tasks hold.
+	// StandingCPU is the CPU that standing tasks hold.
 	StandingCPU int64
-	// Fillers sums up the filling runs' processors by image, in thousandths.
+	// Fillers is the CPU that filling runs ask for, by image.
 	Fillers map[string]int
 }
 
@@ -57,7 +58,7 @@
 	return s
 }
 
-// Rebuild derives the indexes after a snapshot was read.
+// Rebuild computes the derived fields after a snapshot was read.
 func (s *State) Rebuild() {
 	if s.Jobs == nil {
 		s.Jobs = make(map[string]*Job)
@@ -77,14 +78,14 @@
 	s.byAgent = make(map[string]*Worker)
 	s.use = make(map[string]*Use)
 	s.ready = make(map[*Group]struct{})
-	s.alone = make(map[Ref]struct{})
+	s.copyable = make(map[Ref]struct{})
 	s.suspects = make(map[Ref]struct{})
 	s.pending = make(map[string]int)
 	s.live = 0
 	for _, w := range s.Workers {
 		s.byAgent[w.Agent] = w
-		s.noteStood(w)
-		s.noteToken(w) // a snapshot from before there were tokens has only these
+		s.recordDataCentre(w)
+		s.recordToken(w) // snapshots of earlier versions have no Tokens
 	}
 	for _, j := range s.Jobs {
 		s.derive(j)
@@ -106,10 +107,10 @@
 			}
 			for _, r := range t.Runs() {
 				j.active++
-				s.take(g.ref(k), t, r)
+				s.reserve(g.ref(k), t, r)
 			}
-			s.reviewCopy(g, k)
-			s.reviewSuspect(g, k)
+			s.updateCopyable(g, k)
+			s.updateSuspect(g, k)
 		}
 	}
 	if j.Phase == Queued {
@@ -118,7 +119,7 @@
 	if !j.Phase.Over() {
 		s.live++
 		for _, g := range j.Groups {
-			s.review(g)
+			s.updateReady(g)
 		}
 	}
 }
@@ -131,29 +132,28 @@
 	Occurrence, Step int
 }
 
-// Group names the group that a task belongs to.
+// Group returns the key of the task's group.
 func (r Ref) Group() GroupKey { return GroupKey{r.Job, r.Occurrence, r.Step} }
 
-// Key returns the group's name.
+// Key returns the group's key.
 func (g *Group) Key() GroupKey { return GroupKey{g.job.ID, g.occurrence, g.step} }
 
-// Step returns what the caller asked for.
+// Step returns the caller's specification of the group's step.
 func (g *Group) Step() *Step { return &g.job.Spec.Steps[g.step] }
 
-// Job returns the group's job.
+// Job returns the job that the group belongs to.
 func (g *Group) Job() *Job { return g.job }
 
-// Occurrence and StepIndex tell which group of its job this is.
+// Occurrence returns the number of the group's occurrence.
 func (g *Group) Occurrence() int { return g.occurrence }
 
 // StepIndex returns the number of the group's step.
 func (g *Group) StepIndex() int { return g.step }
 
-// Waiting counts the tasks without a place.
+// Waiting returns the number of tasks that are not done and have no run.
 func (g *Group) Waiting() int { return g.waiting }
 
-// DueAt returns when the group may begin, in milliseconds since 1970, 0 for at
-// once.
+// DueAt returns when the group may begin, in milliseconds since 1970, 0 for immediately.
 func (g *Group) DueAt() int64 {
 	if g.job.Spec.Repeat == 0 {
 		return 0
@@ -173,8 +173,8 @@
 	return true
 }
 
-// review enters a group into the ready set, or takes it out.
-func (s *State) review(g *Group) {
+// updateReady adds a group to the ready set or removes it, as its state requires.
+func (s *State) updateReady(g *Group) {
 	if !g.job.Phase.Over() && g.waiting > 0 && g.dependenciesDone() {
 		s.ready[g] = struct{}{}
 		return
@@ -182,30 +182,30 @@
 	delete(s.ready, g)
 }
 
-// reviewCopy enters a task into the set of those that may have a copy, or takes it
-// out.
-func (s *State) reviewCopy(g *Group, k int) {
-	if g.takesCopy(k) {
-		s.alone[g.ref(k)] = struct{}{}
+// updateCopyable adds a task to the set of those that may get a copy or removes it, as its state
+// requires.
+func (s *State) updateCopyable(g *Group, k int) {
+	if g.mayCopy(k) {
+		s.copyable[g.ref(k)] = struct{}{}
 		return
 	}
-	delete(s.alone, g.ref(k))
+	delete(s.copyable, g.ref(k))
 }
 
-// takesCopy reports whether a task may have a second run. The members of a gang work
-// together only, and a standing task never ends, so neither has one. Nor has a suspect:
-// its copy could crash a second worker at the same time.
-func (g *Group) takesCopy(k int) bool {
+// mayCopy reports whether a task may get a second run. Gang members only work together and
+// standing tasks never end, so neither get one. Nor do suspects, since the copy could crash a
+// second worker at the same time.
+func (g *Group) mayCopy(k int) bool {
 	st, t := g.Step(), &g.Tasks[k]
 	return st.Speculative && !st.Gang && !st.Standing && !g.job.Phase.Over() && !t.Done && g.Doubt(k) == NoDoubt &&
 		t.Placed != nil && !t.Placed.Stopping && t.Copy == nil
 }
 
-// Alone returns the tasks at work for which a copy is worth a thought, in order: they
-// may have one, have none, and the test returns true for them.
+// Alone returns the running tasks that may have a copy, have none, and for which test returns
+// true, in order.
 func (s *State) Alone(test func(Ref, *Group) bool) []Ref {
 	var refs []Ref
-	for ref := range s.alone {
+	for ref := range s.copyable {
 		if g := s.group(ref); test(ref, g) {
 			refs = append(refs, ref)
 		}
@@ -214,8 +214,8 @@
 	return refs
 }
 
-// Ready returns the groups with tasks that wait for a place only, oldest job
-// first. They must not be changed.
+// Ready returns the groups with tasks that only wait for a worker, whose dependencies are done,
+// oldest job first. They must not be changed.
 func (s *State) Ready() []*Group {
 	out := slices.Collect(maps.Keys(s.ready))
 	slices.SortFunc(out, func(a, b *Group) int {
@@ -230,21 +230,21 @@
 	return out
 }
 
-// TakeTouched returns the workers whose orders changed since the last call.
+// TakeTouched returns the workers whose orders changed since the last call, and resets the list.
 func (s *State) TakeTouched() []string {
 	t := s.touched
 	s.touched = nil
 	return t
 }
 
-// change marks a decision on a run for its agent.
-func (s *State) change(r *Placed, index uint64) {
+// markChanged records a change of a run's order for its agent.
+func (s *State) markChanged(r *Placed, index uint64) {
 	r.Changed = index
 	s.touched = append(s.touched, r.Worker)
 }
 
-// noteStood keeps in which data centre a service has a worker.
-func (s *State) noteStood(w *Worker) {
+// recordDataCentre records that a service has a worker in its data centre.
+func (s *State) recordDataCentre(w *Worker) {
 	list := s.Stood[w.Service]
 	if i, found := slices.BinarySearch(list, w.DataCentre); !found {
 		s.Stood[w.Service] = slices.Insert(slices.Clone(list), i, w.DataCentre)
@@ -260,8 +260,8 @@
 	}
 }
 
-// Group returns one step of one occurrence, or an empty group of a job that was
-// not taken in.
+// Group returns the group of one step of one occurrence, or an empty one if the job has not been
+// accepted.
 func (j *Job) Group(occurrence, step int) *Group {
 	if i := occurrence*len(j.Spec.Steps) + step; i < len(j.Groups) {
 		return j.Groups[i]
@@ -283,7 +283,7 @@
 	return open, placed
 }
 
-// Active counts the job's runs that hold room.
+// Active returns the number of the job's runs that hold capacity.
 func (j *Job) Active() int { return j.active }
 
 // Live counts the jobs that are not over.
@@ -292,7 +292,7 @@
 // Pending counts a queue's jobs without a started task.
 func (s *State) Pending(host, prefix string) int { return s.pending[host+prefix] }
 
-// Use returns what is held on a worker.
+// Use returns the capacity that is held on a worker.
 func (s *State) Use(worker string) Use {
 	if u := s.use[worker]; u != nil {
 		return *u
@@ -300,12 +300,12 @@
 	return Use{}
 }
 
-// WorkerOf returns the worker that an agent stands beside, nil for none.
+// WorkerOf returns the worker registered by an agent, nil for none.
 func (s *State) WorkerOf(agent string) *Worker { return s.byAgent[agent] }
 
-// take and release keep the derived use of a worker equal to the sum over the
-// runs that hold room there.
-func (s *State) take(ref Ref, t *Task, r *Placed) {
+// reserve and release keep the derived use of a worker equal to the sum over the runs that hold
+// capacity there.
+func (s *State) reserve(ref Ref, t *Task, r *Placed) {
 	u := s.use[r.Worker]
 	if u == nil {
 		u = &Use{Runs: make(map[Ref]*Task), Serving: make(map[string]int), Fillers: make(map[string]int)}
@@ -330,7 +330,7 @@
 	}
 }
 
-// count adds n to the runs of a step's kind.
+// count adds n runs of a step to the totals by kind and image.
 func (u *Use) count(st *Step, n int) {
 	var by map[string]int
 	if st.Standing {
@@ -351,15 +351,15 @@
 	}
 }
 
-// Held returns what a task of the step takes from a worker's room: a filling one
-// takes no processors.
+// Held returns the part of a worker's capacity that a task of the step takes. A filling task takes
+// no CPU.
 func (st *Step) Held() resource.Vector {
 	held, _ := heldBy(st)
 	return held
 }
 
-// heldBy returns what a run of a step takes from a worker's room, and the
-// processors it only fills.
+// heldBy returns the part of a worker's capacity that a run of a step takes, and the CPU that a
+// filling run may use when it is free.
 func heldBy(st *Step) (held resource.Vector, filling int64) {
 	if st.Fills {
 		n := st.Need
@@ -386,7 +386,7 @@
 	return j.Groups[i]
 }
 
-// Submit hands a job in.
+// Submit is the command that submits a job.
 type Submit struct {
 	ID     string `msgpack:"i"`
 	Host   string `msgpack:"h"`
@@ -394,9 +394,9 @@
 	Spec   Spec   `msgpack:"s"`
 }
 
-// ApplySubmit takes a job in. A job that is known is not taken twice, whatever
-// became of it: the caller that lost the answer, or a delayed copy of the
-// request after a cancellation, gets the first answer.
+// ApplySubmit accepts a job. A job whose id is known is not accepted twice, whatever its phase:
+// a caller that lost the answer, or a delayed copy of the request after a cancellation, gets the
+// first answer.
 func (s *State) ApplySubmit(c Submit, index uint64, now int64) error {
 	if old := s.Jobs[c.ID]; old != nil {
 		if old.Host != c.Host || old.Prefix != c.Prefix {
@@ -415,8 +415,8 @@
 	return nil
 }
 
-// ApplyCancel ends a job and reports whether it is known. What runs of it is
-// stopped; a job that is over stays what it is.
+// ApplyCancel cancels a job, stops its runs and reports whether the job is known. A job that is
+// over keeps its phase.
 func (s *State) ApplyCancel(id string, index uint64) bool {
 	j := s.Jobs[id]
 	if j == nil {
@@ -428,7 +428,7 @@
 	return true
 }
 
-// end makes a job over and asks for the stop of its runs.
+// end puts a job into a final phase and orders the stop of its runs.
 func (s *State) end(j *Job, p Phase, index uint64) {
 	s.setPhase(j, p)
 	s.live--
@@ -436,18 +436,18 @@
 		delete(s.ready, g)
 		for i := range g.Tasks {
 			s.stopRuns(&g.Tasks[i], index)
-			s.reviewCopy(g, i)
-			s.reviewSuspect(g, i)
+			s.updateCopyable(g, i)
+			s.updateSuspect(g, i)
 		}
 	}
 }
 
-// stopRuns asks for the stop of all of a task's runs.
+// stopRuns orders the stop of all of a task's runs.
 func (s *State) stopRuns(t *Task, index uint64) {
 	for _, r := range t.Runs() {
 		if !r.Stopping {
 			r.Stopping = true
-			s.change(r, index)
+			s.markChanged(r, index)
 		}
 	}
 }
@@ -459,7 +459,7 @@
 	j.Phase = p
 }
 
-// ApplyForget drops jobs that are over and hold no room.
+// ApplyForget removes the given jobs if they are over and hold no capacity.
 func (s *State) ApplyForget(ids []string) {
 	for _, id := range ids {
 		if j := s.Jobs[id]; j != nil && j.Phase.Over() && j.active == 0 {
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -20,52 +20,52 @@
 	MaxAttempts: func(string, string) int { return 3 },
 }
 
-// world is a state with a log index that rises with each command.
-type world struct {
+// fixture is a state with a log index that rises with each command.
+type fixture struct {
 	*State
 	t     *testing.T
 	index uint64
 }
 
-func newWorld(t *testing.T, workers ...string) *world {
-	w := &world{State: NewState(), t: t}
+func newFixture(t *testing.T, workers ...string) *fixture {
+	w := &fixture{State: NewState(), t: t}
 	for _, id := range workers {
 		w.register(id, "agent-"+id, "life-1")
 	}
 	return w
 }
 
-func (w *world) next() uint64 { w.index++; return w.index }
+func (w *fixture) next() uint64 { w.index++; return w.index }
 
-func (w *world) register(id, agent, life string) Worker {
+func (w *fixture) register(id, agent, life string) Worker {
 	return w.ApplyRegister(Worker{ID: id, Agent: agent, Life: life, Service: "vault", Labels: []string{"a", "r1"},
 		Capacity: resource.Vector{MilliCPU: 4000, MemoryMB: 1000}}, w.next()).Worker
 }
 
-func (w *world) submit(id string, steps ...Step) {
+func (w *fixture) submit(id string, steps ...Step) {
 	w.t.Helper()
 	if err := w.ApplySubmit(Submit{ID: id, Host: host, Prefix: prefix, Spec: Spec{Payload: "p", Steps: steps}}, w.next(), 1000); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *world) place(job string, step int, index int, worker string) int {
+func (w *fixture) place(job string, step int, index int, worker string) int {
 	placed, _ := w.ApplyPlan(Plan{Placements: []Placement{{Job: job, Step: step, Indexes: []int{index}, Workers: []string{worker}}}}, rules, w.next())
 	return placed
 }
 
-func (w *world) end(worker string, ref Ref, run uint32, o Outcome, checkpoint string) {
+func (w *fixture) end(worker string, ref Ref, run uint32, o Outcome, checkpoint string) {
 	w.ApplyEnd(worker, End{Task: ref, Run: run, Outcome: o, Checkpoint: checkpoint}, rules, w.next())
 }
 
-// lose ends the lease of a worker as it is registered now.
-func (w *world) lose(id string) {
+// lose applies the loss of a worker's newest registration.
+func (w *fixture) lose(id string) {
 	if x := w.Workers[id]; x != nil {
 		w.ApplyLost([]Loss{{id, x.Registered}})
 	}
 }
 
-func (w *world) phase(id string) Phase {
+func (w *fixture) phase(id string) Phase {
 	w.t.Helper()
 	p, err := w.Lookup(host, prefix, id)
 	if err != nil {
@@ -78,10 +78,10 @@
 	return Step{Count: count, Need: resource.Vector{MilliCPU: cpu, MemoryMB: 10}}
 }
 
-// A caller loses the answer to its job and hands it in again, a delayed copy
-// comes after the job was cancelled. The job must stay one, and what it is.
+// A caller loses the answer to its submission and submits the job again, and a delayed copy arrives
+// after the job was cancelled. There must be one job, and it must stay cancelled.
 func TestResendAfterTheCancelStartsNothing(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 100))
 	w.submit(idA, step(1, 100))
 	if w.Live() != 1 || len(w.Jobs) != 1 {
@@ -92,10 +92,10 @@
 	}
 	w.submit(idA, step(1, 100))
 	if w.phase(idA) != Cancelled || len(w.Ready()) != 0 || w.place(idA, 0, 0, "w1") != 0 {
-		t.Fatalf("the job is %v and something of it can start", w.phase(idA))
+		t.Fatalf("the job is %v, want cancelled, and no task of it may start", w.phase(idA))
 	}
 	if w.ApplyCancel(idB, w.next()) {
-		t.Fatal("a job that nobody handed in was cancelled")
+		t.Fatal("a job that was never submitted was cancelled")
 	}
 	other := Submit{ID: idA, Host: host, Prefix: "/titles/", Spec: Spec{Steps: []Step{step(1, 1)}}}
 	if err := w.ApplySubmit(other, w.next(), 0); err == nil {
@@ -103,10 +103,10 @@
 	}
 }
 
-// A plan is made from a snapshot; by the time it is applied a step that it builds
-// on may have failed again, or its worker may be full or leaving.
+// A plan is made from a snapshot. By the time it is applied, a step that it depends on may not be
+// done, and its worker may be full, draining or unknown.
 func TestPlanIsCheckedWhenItIsApplied(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	first, second := step(1, 1500), step(1, 1500)
 	second.DependsOn = []int{0}
 	w.submit(idA, first, second)
@@ -118,13 +118,13 @@
 		t.Error("one task was placed on two workers")
 	}
 	if w.place(idB, 0, 0, "w1") != 1 || w.place(idB, 0, 1, "w1") != 0 {
-		t.Error("a worker was given more than it has")
+		t.Error("a worker was given more than its capacity")
 	}
 	leaving := *w.Workers["w2"]
 	leaving.Draining = true
 	w.ApplyRegister(leaving, w.next())
 	if w.place(idB, 0, 1, "w2") != 0 {
-		t.Error("a leaving worker was given a task")
+		t.Error("a draining worker was given a task")
 	}
 	if w.place(idB, 0, 1, "nobody") != 0 {
 		t.Error("an unknown worker was given a task")
@@ -139,33 +139,34 @@
 	}
 }
 
-// A run is asked to stop; the room must stay taken until the worker says that it
-// has ended. Freed before, the next task would not fit beside it.
+// A run that has been ordered to stop must hold its capacity until the worker reports its end.
+// Freed earlier, the capacity would be given to a task that does not fit beside the run.
 func TestRoomIsHeldUntilTheEnd(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 3000))
 	w.submit(idB, step(1, 3000))
 	w.place(idA, 0, 0, "w1")
 	w.ApplyCancel(idA, w.next())
 	if w.place(idB, 0, 0, "w1") != 0 {
-		t.Fatal("the room of a run that is being stopped was given away")
+		t.Fatal("the capacity of a run that is being stopped was reassigned")
 	}
 	if o := w.Orders("w1", 0); len(o) != 1 || !o[0].Stop {
-		t.Fatalf("the agent is told %+v", o)
+		t.Fatalf("the agent's orders are %+v", o)
 	}
 	w.end("w1", Ref{idA, 0, 0, 0}, 1, OutcomeStopped, "")
 	if w.place(idB, 0, 0, "w1") != 1 {
-		t.Fatal("the room was not freed")
+		t.Fatal("the capacity was not freed")
 	}
 	if w.phase(idA) != Cancelled {
 		t.Fatalf("a cancelled job became %v", w.phase(idA))
 	}
 }
 
-// lostAndPlacedAgain returns a job whose task was lost with w1 as run 2, and goes on as run 3 on w2.
-func lostAndPlacedAgain(t *testing.T) (*world, Ref) {
+// lostAndPlacedAgain returns a state and a task whose run 2 was lost with w1, and which continues as
+// run 3 on w2.
+func lostAndPlacedAgain(t *testing.T) (*fixture, Ref) {
 	t.Helper()
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	st := step(1, 1000)
 	st.Checkpointing = true
 	w.submit(idA, st)
@@ -175,20 +176,20 @@
 	w.place(idA, 0, 0, "w1")
 	w.lose("w1")
 	if w.place(idA, 0, 0, "w2") != 1 {
-		t.Fatal("the task can't go on")
+		t.Fatal("the task can't be placed again")
 	}
 	return w, ref
 }
 
-// A worker is lost with a run on it. The task goes on elsewhere from its saved
-// progress under a higher number; an end of the old run, told late, must not
-// count unless the task is done by it, nor one of a run that was never there.
+// A worker is lost with a run on it, and the task continues elsewhere from its checkpoint under a
+// higher run number. A late end of the old run must not count unless its outcome is done, nor may
+// an end that names a run of another worker.
 func TestLateEndOfALostRunIsIgnored(t *testing.T) {
 	w, ref := lostAndPlacedAgain(t)
 	w.end("w1", ref, 2, OutcomeStopped, "another")
 	w.end("w1", ref, 2, OutcomeFailed, "")
 	w.end("w1", ref, 2, OutcomeLost, "")
-	w.end("w1", ref, 3, OutcomeDone, "") // it is w2's
+	w.end("w1", ref, 3, OutcomeDone, "") // run 3 is on w2
 	if o := w.Orders("w2", 0); len(o) != 1 || o[0].Stop || o[0].Run != 3 || o[0].Checkpoint != "saved" {
 		t.Fatalf("the next run is %+v", o)
 	}
@@ -201,14 +202,14 @@
 	}
 }
 
-// Guards against a done task that is started again: its run was taken for lost, ended as done and
-// was acknowledged while the task's next run was still to start.
+// Guards against starting a done task again: its run was assumed lost, then ended as done and was
+// acknowledged while the task's next run was still to start.
 func TestLateDoneEndStopsTheNextRun(t *testing.T) {
 	w, ref := lostAndPlacedAgain(t)
 	w.end("w1", ref, 2, OutcomeDone, "")
-	w.end("w1", ref, 2, OutcomeDone, "") // told again
+	w.end("w1", ref, 2, OutcomeDone, "") // reported again
 	if o := w.Orders("w2", 0); len(o) != 1 || !o[0].Stop {
-		t.Errorf("the agent of the next run is told %+v", o)
+		t.Errorf("the orders for the next run's agent are %+v", o)
 	}
 	if w.phase(idA) != Completed || w.Use("w2").Held.MilliCPU != 1000 {
 		t.Errorf("the job is %v, %d held for the run that is being stopped", w.phase(idA), w.Use("w2").Held.MilliCPU)
@@ -219,10 +220,10 @@
 	}
 }
 
-// Guards against a done task that is started again: its run was taken for lost, ended as done
-// and was acknowledged while the task waited.
+// Guards against starting a done task again: its run was assumed lost, then ended as done and was
+// acknowledged while the task waited.
 func TestLateDoneEndOfATaskThatWaitsCounts(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	second := step(1, 1000)
 	second.DependsOn = []int{0}
 	w.submit(idA, step(2, 1000), second)
@@ -230,12 +231,12 @@
 	w.lose("w1")
 	ref := Ref{idA, 0, 0, 0}
 	w.end("w9", ref, 2, OutcomeDone, "")   // never ordered
-	w.end("w9", ref, 1, OutcomeFailed, "") // no attempt of the task as it stands
+	w.end("w9", ref, 1, OutcomeFailed, "") // not a done end
 	if w.Ready()[0].Waiting() != 2 {
-		t.Fatalf("%d tasks wait", w.Ready()[0].Waiting())
+		t.Fatalf("%d tasks wait, want 2", w.Ready()[0].Waiting())
 	}
 	w.end("w9", ref, 1, OutcomeDone, "")
-	w.end("w9", ref, 1, OutcomeDone, "") // told again
+	w.end("w9", ref, 1, OutcomeDone, "") // reported again
 	if w.Ready()[0].Waiting() != 1 || w.place(idA, 0, 0, "w2") != 0 {
 		t.Fatal("a done task can be started again")
 	}
@@ -250,16 +251,16 @@
 	}
 }
 
-// A worker crashes and another incarnation registers from the same agent: what
-// the old one ran ended with it. A new life of the agent beside the same
-// incarnation takes the runs over, with a higher fencing token.
-func TestIncarnationsAndLives(t *testing.T) {
-	w := newWorld(t, "w1")
+// If the same agent registers another incarnation of its worker, the runs of the old one have ended.
+// A new session of the agent with the same incarnation takes the runs over with a higher fencing
+// token.
+func TestIncarnationsAndAgentRestarts(t *testing.T) {
+	w := newFixture(t, "w1")
 	w.submit(idA, step(2, 1000))
 	w.place(idA, 0, 0, "w1")
 	before := w.Workers["w1"].Token
 	if same := w.register("w1", "agent-w1", "life-1"); same.Token != before {
-		t.Error("the token changed within one life")
+		t.Error("the token changed within one session")
 	}
 	next := w.register("w1", "agent-w1", "life-2")
 	if next.Token <= before || w.Use("w1").Held.MilliCPU != 1000 {
@@ -267,81 +268,81 @@
 	}
 	w.register("w9", "agent-w1", "life-3")
 	if w.Workers["w1"] != nil || w.Ready()[0].Waiting() != 2 {
-		t.Error("the old incarnation's run is still counted on")
+		t.Error("the old incarnation's run still counts")
 	}
 }
 
-// The leader decides that a worker's lease has ended. Before that is committed the
-// agent, back from a cut, registers again and is given a lease on it. Were the loss
-// applied all the same, the worker's runs would be started elsewhere while they go on.
+// The leader decides that a worker's lease has ended. Before that is committed, the agent reconnects,
+// registers again and is granted a new lease. If the loss were applied, the worker's runs would be
+// started elsewhere while they continue.
 func TestLossDecidedBeforeARegistrationIsVoid(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 1000))
 	w.place(idA, 0, 0, "w1")
 	decided := Loss{"w1", w.Workers["w1"].Registered}
 	w.register("w1", "agent-w1", "life-1")
 	w.ApplyLost([]Loss{decided})
 	if w.Workers["w1"] == nil || len(w.Ready()) != 0 {
-		t.Fatal("the run was given back while its worker holds a lease")
+		t.Fatal("the run became void while its worker holds a lease")
 	}
 	w.lose("w1")
 	if w.Workers["w1"] != nil || len(w.Ready()) != 1 {
-		t.Fatal("a worker that was lost since is still counted on")
+		t.Fatal("a worker that was lost later is still registered")
 	}
 }
 
-// Guards against void runs that are started: the session whose worker was lost registers again,
-// with an update or a call that was held up, also over a snapshot.
+// Guards against starting void runs: a session whose worker was lost registers again, with an update
+// or a delayed call. The registration must be refused, also by a state restored from a snapshot.
 func TestSessionOfALostWorkerIsOutdated(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	session := Worker{ID: "w1", Agent: "a", Life: "life-1", Service: "vault", Token: 5}
 	w.ApplyRegister(session, 10)
 	if err := w.Outdated(&session, true); err != nil {
-		t.Fatalf("an update of the present session: %v", err)
+		t.Fatalf("an update of the present session was refused: %v", err)
 	}
 	w.lose("w1")
-	for _, s := range []*State{w.State, restored(t, w.State)} {
+	for _, s := range []*State{w.State, restoreSnapshot(t, w.State)} {
 		if s.Outdated(&session, false) == nil {
 			t.Error("the session of a lost worker can register again")
 		}
 		raised := session
 		raised.Token = 7
 		if s.Outdated(&raised, true) == nil {
-			t.Error("it can once it has gone on to a higher token")
+			t.Error("the session of a lost worker can register again with a higher token")
 		}
 		next := Worker{ID: "w1", Agent: "a", Life: "life-2", Service: "vault", Token: 6}
 		if err := s.Outdated(&next, false); err != nil {
-			t.Errorf("the next session: %v", err)
+			t.Errorf("the next session was refused: %v", err)
 		}
 	}
 	w.ApplyRegister(Worker{ID: "w1", Agent: "a", Life: "life-2", Service: "vault", Token: 6}, 20)
 	w.Tokens = nil // as in a snapshot of an earlier version
-	if s := restored(t, w.State); s.Outdated(&session, false) == nil {
-		t.Error("a session that another has followed can register again")
+	if s := restoreSnapshot(t, w.State); s.Outdated(&session, false) == nil {
+		t.Error("a session that was followed by another can register again")
 	}
 }
 
-// Guards against a state that grows with each instance there ever was.
-func TestTokensOfAgentsThatAreLongGoneAreForgotten(t *testing.T) {
-	w := newWorld(t)
-	for i := range sparedTokens + 10 {
+// Guards against a state that grows with every instance that ever existed.
+func TestTokensOfLongAbsentAgentsAreForgotten(t *testing.T) {
+	w := newFixture(t)
+	for i := range retainedTokens + 10 {
 		id := fmt.Sprint("w", i)
 		w.ApplyRegister(Worker{ID: id, Agent: id, Life: "1", Service: "vault"}, uint64(i+1))
 		if i > 0 {
 			w.lose(id)
 		}
 	}
-	if len(w.Tokens) != sparedTokens+10 {
-		t.Fatalf("%d tokens are kept of agents that may still be on their way", len(w.Tokens))
+	if len(w.Tokens) != retainedTokens+10 {
+		t.Fatalf("%d tokens are kept although messages of their agents may still be in transit", len(w.Tokens))
 	}
-	w.ApplyRegister(Worker{ID: "late", Agent: "late", Life: "1", Service: "vault"}, 2*tokenAge)
+	w.ApplyRegister(Worker{ID: "late", Agent: "late", Life: "1", Service: "vault"}, 2*tokenRetention)
 	if len(w.Tokens) != 2 || w.Tokens["w0"] == 0 {
-		t.Errorf("%d tokens are kept, of an agent that is there %d", len(w.Tokens), w.Tokens["w0"])
+		t.Errorf("%d tokens are kept, want 2; the token of a registered agent is %d", len(w.Tokens), w.Tokens["w0"])
 	}
 }
 
-// restored is a state as a replica has it that was sent its snapshot.
-func restored(t *testing.T, s *State) *State {
+// restoreSnapshot returns the state that a replica restores from a snapshot.
+func restoreSnapshot(t *testing.T, s *State) *State {
 	t.Helper()
 	b, err := msgpack.Marshal(s)
 	if err != nil {
@@ -356,7 +357,7 @@
 }
 
 func TestAttemptsAndStandingTasks(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	standing := step(1, 100)
 	standing.Standing = true
 	w.submit(idA, step(1, 100))
@@ -377,14 +378,14 @@
 	w.place(idB, 0, 0, "w1")
 	w.end("w1", Ref{idB, 0, 0, 0}, 4, OutcomeDone, "")
 	if w.phase(idB) != Running || len(w.Ready()) != 1 {
-		t.Error("a standing task that ended by itself is not restarted")
+		t.Error("a standing task that ended without an order is not restarted")
 	}
 }
 
-// Rejected and lost runs, and those broken by another member, were not the task's
-// fault and must not count as attempts: a job would fail without a cause.
+// Rejected, lost and stopped runs are not failures of the task and must not count as attempts.
+// Otherwise a job could fail without any task failing.
 func TestOnlyFailedRunsCountAsAttempts(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 100))
 	for run := uint32(1); run <= 6; run++ {
 		w.place(idA, 0, 0, "w1")
@@ -396,7 +397,7 @@
 }
 
 func TestGangIsPlacedWholeAndEndsTogether(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	gang := step(3, 2000)
 	gang.Gang, gang.Checkpointing = true, true
 	w.submit(idA, gang)
@@ -405,7 +406,7 @@
 		return placed
 	}
 	if plan("w1", "w1", "w1") != 0 || w.Use("w1").Held.MilliCPU != 0 || w.Ready()[0].Waiting() != 3 {
-		t.Fatal("a gang that does not fit left something behind")
+		t.Fatal("a gang that does not fit was partly placed")
 	}
 	if w.place(idA, 0, 0, "w1") != 0 {
 		t.Fatal("a member was placed alone")
@@ -422,7 +423,7 @@
 	for _, worker := range []string{"w1", "w2"} {
 		for _, o := range w.Orders(worker, 0) {
 			if o.Run != 2 || o.Checkpoint != "half" {
-				t.Fatalf("a member is to start as %+v", o)
+				t.Fatalf("a member's order is %+v", o)
 			}
 		}
 	}
@@ -433,13 +434,13 @@
 	w.end("w1", Ref{idA, 0, 0, 2}, 2, OutcomeDone, "")
 	w.end("w2", Ref{idA, 0, 0, 0}, 2, OutcomeDone, "")
 	if w.Use("w1").Held.MilliCPU != 0 || w.Use("w2").Held.MilliCPU != 0 {
-		t.Fatal("room is still held")
+		t.Fatal("capacity is still held")
 	}
 }
 
-// A filling task takes no processors from the room, but its memory counts.
+// A filling task takes no CPU from a worker's capacity, but its memory counts.
 func TestFillingTasksTakeMemoryOnly(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	fill := step(3, 4000)
 	fill.Fills, fill.Need.MemoryMB = true, 400
 	w.submit(idA, fill)
@@ -454,7 +455,7 @@
 }
 
 func TestOccurrencesAreSeparate(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	err := w.ApplySubmit(Submit{ID: idA, Host: host, Prefix: prefix, Spec: Spec{Steps: []Step{step(1, 100)}, Repeat: 2, StartAt: 5000, Every: 1000}}, w.next(), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -477,7 +478,7 @@
 }
 
 func TestForgetKeepsWhatStillHoldsRoom(t *testing.T) {
-	w := newWorld(t, "w1")
+	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 100))
 	w.place(idA, 0, 0, "w1")
 	w.ApplyCancel(idA, w.next())
@@ -492,10 +493,10 @@
 	}
 }
 
-// A new replica takes a snapshot over. Everything that is derived must come out
-// as the replica has it that applied all commands.
+// The derived state of a replica restored from a snapshot must equal that of a replica which applied
+// all commands.
 func TestSnapshotRestoresTheSameState(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	second := step(2, 500)
 	second.DependsOn = []int{0}
 	w.submit(idA, step(2, 500), second)
@@ -503,7 +504,7 @@
 	w.place(idA, 0, 0, "w1")
 	w.place(idA, 0, 1, "w2")
 	w.end("w2", Ref{idA, 0, 0, 1}, 1, OutcomeDone, "")
-	back := restored(t, w.State)
+	back := restoreSnapshot(t, w.State)
 	if !reflect.DeepEqual(back.Use("w1").Held, w.Use("w1").Held) || back.Live() != w.Live() || back.Pending(host, prefix) != w.Pending(host, prefix) {
 		t.Error("the derived state differs")
 	}
@@ -551,14 +552,13 @@
 	}
 }
 
-// A worker takes six times as long as its peers and nothing fails. Where the step
-// allows it, a copy elsewhere ends first: it counts, the slow run is stopped, and what
-// becomes of that counts for nothing.
+// A slow worker takes six times as long as its peers, and a copy of its run on another worker ends
+// first. The copy's end must count, the slow run must be stopped, and its end must have no effect.
 func TestTheFirstOfTwoCopiesCounts(t *testing.T) {
-	w := newWorld(t, "w1", "w2", "w3")
+	w := newFixture(t, "w1", "w2", "w3")
 	st := step(1, 100)
 	st.Speculative = true
-	w.submit(idA, st, after(step(1, 100), 0))
+	w.submit(idA, st, dependsOn(step(1, 100), 0))
 	ref := Ref{Job: idA}
 	if w.placeCopy(ref, "w2") != 0 {
 		t.Fatal("a copy was placed before the task had a run")
@@ -569,14 +569,14 @@
 	}
 	orders := w.Orders("w2", 0)
 	if len(orders) != 1 || orders[0].Run != 2 || orders[0].Stop {
-		t.Fatalf("the copy's worker was told %+v", orders)
+		t.Fatalf("the copy's worker was sent %+v", orders)
 	}
 	w.end("w2", ref, 2, OutcomeDone, "")
 	if w.place(idA, 1, 0, "w3") != 1 {
-		t.Fatal("the next step does not begin with the copy's end")
+		t.Fatal("the next step does not begin after the copy's end")
 	}
 	if o := w.Orders("w1", 0); len(o) != 1 || !o[0].Stop || o[0].Run != 1 {
-		t.Fatalf("the slow run's worker was told %+v", o)
+		t.Fatalf("the slow run's worker was sent %+v", o)
 	}
 	for range 3 {
 		w.end("w1", ref, 1, OutcomeFailed, "")
@@ -587,10 +587,10 @@
 	}
 }
 
-// The worker of the first run is lost while a copy is at work. The copy goes on as the
-// task's only run, may have a copy of its own, and no third run starts beside it.
+// The worker of the first run is lost while a copy runs. The copy must continue as the task's only
+// run and may get a copy of its own; the task must not be placed again beside it.
 func TestACopyOutlivesTheFirstRun(t *testing.T) {
-	w := newWorld(t, "w1", "w2", "w3")
+	w := newFixture(t, "w1", "w2", "w3")
 	st := step(1, 100)
 	st.Speculative = true
 	w.submit(idA, st)
@@ -599,7 +599,7 @@
 	w.placeCopy(ref, "w2")
 	w.lose("w1")
 	if len(w.Ready()) != 0 || w.place(idA, 0, 0, "w3") != 0 {
-		t.Fatal("the task waits for a place while its copy runs")
+		t.Fatal("the task waits for placement while its copy runs")
 	}
 	every := func(Ref, *Group) bool { return true }
 	if got := w.Alone(every); len(got) != 1 || w.placeCopy(ref, "w3") != 1 {
@@ -608,7 +608,7 @@
 	w.ApplyCancel(idA, w.next())
 	for _, id := range []string{"w2", "w3"} {
 		if o := w.Orders(id, 0); len(o) != 1 || !o[0].Stop {
-			t.Fatalf("%s was told %+v after the cancel", id, o)
+			t.Fatalf("%s was sent %+v after the cancel", id, o)
 		}
 	}
 	if len(w.Alone(every)) != 0 {
@@ -616,19 +616,19 @@
 	}
 }
 
-func after(st Step, step int) Step {
+func dependsOn(st Step, step int) Step {
 	st.DependsOn = []int{step}
 	return st
 }
 
-func (w *world) placeCopy(ref Ref, worker string) int {
+func (w *fixture) placeCopy(ref Ref, worker string) int {
 	p := Placement{Job: ref.Job, Step: ref.Step, Indexes: []int{ref.Index}, Workers: []string{worker}, Copy: true}
 	placed, _ := w.ApplyPlan(Plan{Placements: []Placement{p}}, rules, w.next())
 	return placed
 }
 
-// Guards against ends that are acknowledged although their tasks have been ordered again: the rest
-// of what is told of a run must not pass for one.
+// Guards against acknowledging done ends of runs whose tasks have been ordered again. Ends with other
+// outcomes must not count as overtaken.
 func TestEndsWhoseTasksWereOrderedAgainAreOvertaken(t *testing.T) {
 	w, ref := lostAndPlacedAgain(t) // run 2 was w1's, run 3 is w2's
 	end := func(worker string, run uint32, o Outcome) bool {
@@ -636,10 +636,10 @@
 	}
 	for _, o := range []Outcome{OutcomeStopped, OutcomeFailed, OutcomeLost} {
 		if end("w1", 2, o) {
-			t.Errorf("%v passes for done", o)
+			t.Errorf("an end with outcome %v is overtaken", o)
 		}
 	}
-	for range 2 { // told again
+	for range 2 { // reported again
 		if !end("w1", 2, OutcomeDone) {
 			t.Error("the end of run 2 isn't overtaken by run 3")
 		}
@@ -651,16 +651,16 @@
 	}
 }
 
-// Guards against a gang's task that is acknowledged as done and started again with its gang: a late
-// end of one member isn't taken for the gang's.
+// Guards against acknowledging a gang member's done end although the task is started again with its
+// gang: a late end of one member does not count as the end of the gang.
 func TestLateDoneEndOfAGangIsOvertaken(t *testing.T) {
-	w := newWorld(t, "w1", "w2")
+	w := newFixture(t, "w1", "w2")
 	gang := step(2, 1000)
 	gang.Gang = true
 	w.submit(idA, gang)
 	w.ApplyPlan(Plan{Placements: []Placement{{Job: idA, Indexes: []int{0, 1}, Workers: []string{"w1", "w2"}}}}, rules, w.next())
 	w.lose("w1")
 	if !w.ApplyEnd("w1", End{Task: Ref{idA, 0, 0, 0}, Run: 1, Outcome: OutcomeDone}, rules, w.next()).Overtaken {
-		t.Error("the gang is to begin again, and the end may be acknowledged at once")
+		t.Error("the gang is started again, but the end is not overtaken")
 	}
 }
--- a/jobs/types.go
+++ b/jobs/types.go
@@ -1,7 +1,6 @@
-// Package jobs holds the jobs that callers hand in: graphs of steps, their tasks
-// and the runs of these on workers. State is a pure state machine under the
-// quorum's log: which run of a task may exist, and where, is committed before a
-// worker hears of it.
+// Package jobs holds the jobs that callers submit: graphs of steps, their tasks and the runs of
+// these tasks on workers. State is a deterministic state machine driven by the quorum's log: which
+// run of a task may exist, and where, is committed before a worker is told.
 package jobs
 
 import (
@@ -26,7 +25,7 @@
 	return fmt.Sprintf("%s.%d.%d.%d", r.Job, r.Occurrence, r.Step, r.Index)
 }
 
-// ParseRef reads a task's name.
+// ParseRef parses a task's name as String returns it.
 func ParseRef(name string) (Ref, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
@@ -43,17 +42,17 @@
 	return Ref{parts[0], n[0], n[1], n[2]}, nil
 }
 
-// Step is a part of a job: tasks that are alike and may run side by side.
+// Step is a part of a job: identical tasks that may run in parallel.
 type Step struct {
 	Count int             `msgpack:"c" json:"count,omitempty"`
 	Need  resource.Vector `msgpack:"n" json:"need,omitempty"`
-	// EstimateMS is the caller's rough word of a task's duration.
+	// EstimateMS is the caller's rough estimate of a task's duration.
 	EstimateMS int64 `msgpack:"e" json:"estimate_ms,omitempty"`
 	// DependsOn lists earlier steps, all of whose tasks must be done first.
 	DependsOn []int `msgpack:"d,omitempty" json:"depends_on,omitempty"`
 	// Checkpointing tasks save their progress and resume from it.
 	Checkpointing bool `msgpack:"p,omitempty" json:"checkpointing,omitempty"`
-	// Gang tasks work only together: all or none are placed.
+	// Gang tasks only work together: all or none are placed.
 	Gang bool `msgpack:"g,omitempty" json:"gang,omitempty"`
 	// RackSensitive tasks are slower when spread over racks.
 	RackSensitive bool   `msgpack:"r,omitempty" json:"rack_sensitive,omitempty"`
@@ -68,26 +67,26 @@
 	// TargetMS is the bound on the tail latency of a standing task that
 	// serves users of its own, 0 for none.
 	TargetMS int64 `msgpack:"t,omitempty" json:"target_ms,omitempty"`
-	// Fills says that the tasks take only processor time that others leave.
+	// Fills marks tasks that use only CPU time left over by others.
 	Fills bool `msgpack:"i,omitempty" json:"fills,omitempty"`
-	// MaxUnavailable bounds the standing tasks that the system itself may
-	// keep away at a time.
+	// MaxUnavailable bounds the standing tasks that the scheduler itself may make unavailable at a
+	// time.
 	MaxUnavailable int `msgpack:"u,omitempty" json:"max_unavailable,omitempty"`
 }
 
-// Spec is what a caller hands in.
+// Spec is a job as its caller specifies it.
 type Spec struct {
 	Payload string `msgpack:"p" json:"payload,omitempty"`
 	Steps   []Step `msgpack:"s" json:"steps,omitempty"`
-	// Repeat is how often the steps run; 0 means once, at once.
+	// Repeat is how often the steps run; 0 means once, immediately.
 	Repeat int `msgpack:"r,omitempty" json:"repeat,omitempty"`
-	// StartAt and Every give the due time of each repetition, in
-	// milliseconds since 1970 and between them.
+	// StartAt is the due time of the first occurrence, in milliseconds since 1970, and Every the
+	// interval between occurrences, in milliseconds.
 	StartAt int64 `msgpack:"a,omitempty" json:"start_at_ms,omitempty"`
 	Every   int64 `msgpack:"e,omitempty" json:"every_ms,omitempty"`
 }
 
-// String sums a job up for logs: each step's tasks, need and estimate.
+// String summarises a job for logs: each step's tasks, need and estimate.
 func (s *Spec) String() string {
 	var b strings.Builder
 	for i := range s.Steps {
@@ -123,7 +122,7 @@
 	return b.String()
 }
 
-// Phase is where a job stands.
+// Phase is the state of a job.
 type Phase uint8
 
 // The phases of a job.
@@ -140,26 +139,26 @@
 	return [...]string{"queued", "running", "completed", "failed", "cancelled"}[p]
 }
 
-// Over reports whether nothing of the job will start any more.
+// Over reports whether the phase is final: no task of the job will start any more.
 func (p Phase) Over() bool { return p >= Completed }
 
-// Job is one job with everything that is known of its tasks.
+// Job is one job with the state of its tasks.
 type Job struct {
 	ID string `msgpack:"i"`
-	// Host and Prefix are the queue that took the job.
+	// Host and Prefix identify the queue that accepted the job.
 	Host   string `msgpack:"h"`
 	Prefix string `msgpack:"p"`
 	Spec   Spec   `msgpack:"s"`
 	Phase  Phase  `msgpack:"f"`
-	// Seq orders jobs by their acceptance: the log's index.
+	// Seq is the log index of the job's acceptance. It orders jobs.
 	Seq uint64 `msgpack:"q"`
-	// AcceptedAt is when the leader took the job, by the median of many clocks,
-	// in milliseconds since 1970. It only orders work.
+	// AcceptedAt is when the leader accepted the job, by the median of many clocks, in milliseconds
+	// since 1970. It is used only to order work.
 	AcceptedAt int64    `msgpack:"a"`
 	Groups     []*Group `msgpack:"g"` // by occurrence, then step
-	// Why tells operators for what the job failed, "" if it did not.
+	// Why is the reason of the failure for operators, "" if the job did not fail.
 	Why    string `msgpack:"w,omitempty"`
-	active int    // runs that hold room
+	active int    // runs that hold capacity
 }
 
 // Group is one step of one occurrence.
@@ -167,14 +166,14 @@
 	Tasks []Task `msgpack:"t"`
 	// Failures counts the failed runs of a gang as a whole.
 	Failures int `msgpack:"f,omitempty"`
-	// Suspected is what is held against a gang as a whole, nil for nothing.
+	// Suspected is the crash history of a gang as a whole, nil for none.
 	Suspected *Suspicion `msgpack:"x,omitempty"`
 
 	job        *Job
 	occurrence int
 	step       int
 	done       int // tasks that are done
-	waiting    int // tasks that wait for a place
+	waiting    int // tasks that are not done and have no run
 }
 
 // Task is one unit of work.
@@ -183,36 +182,36 @@
 	Run        uint32 `msgpack:"r,omitempty"` // number of the newest run
 	Failures   int    `msgpack:"f,omitempty"`
 	Checkpoint string `msgpack:"c,omitempty"`
-	// Placed is the run that holds room, nil for none.
+	// Placed is the run that holds capacity, nil for none.
 	Placed *Placed `msgpack:"p,omitempty"`
-	// Copy is a second run beside Placed, on another worker, of a step that
-	// allows it; nil for none. The first of the two that is done counts.
+	// Copy is a second run on another worker, nil for none. Only speculative steps have copies,
+	// and the first of the two runs that is done counts.
 	Copy *Placed `msgpack:"k,omitempty"`
-	// Suspected is what is held against the task, nil for nothing.
+	// Suspected is the task's crash history, nil for none.
 	Suspected *Suspicion `msgpack:"x,omitempty"`
 }
 
-// Placed is a run on a worker, from the decision until its end is committed.
+// Placed is a run on a worker, from the placement decision until its end is committed.
 type Placed struct {
 	Worker string `msgpack:"w"`
 	Run    uint32 `msgpack:"r"`
-	// Stopping is set once the run is to end.
+	// Stopping is set once the run has been ordered to stop.
 	Stopping bool `msgpack:"s,omitempty"`
-	// AtMS is when the leader decided on it, by the median of many clocks, in
-	// milliseconds since 1970. It only tells runs that take long.
+	// AtMS is when the leader placed the run, by the median of many clocks, in milliseconds since
+	// 1970. It is used only to detect slow runs.
 	AtMS int64 `msgpack:"a,omitempty"`
-	// SinceMS is when its task began to wait for it, by the same clock: when the call that
-	// handed the job in arrived, or when the step before ended. It is 0 if that is not known,
-	// and for all but first runs. It only measures.
+	// SinceMS is when the task began to wait for this run, by the same clock: when the call that
+	// submitted the job arrived, or when the step before ended. It is 0 if that is not known, and
+	// for all but first runs. It is used only for measurements.
 	SinceMS int64 `msgpack:"b,omitempty"`
-	// Ticket is the advisor's word that the worker may run it, "" if none is needed.
+	// Ticket is the advisor's permission to run the task on the worker, "" if none is needed.
 	Ticket string `msgpack:"t,omitempty"`
-	// Changed is the log index of the newest decision on the run. An agent
-	// that knows everything up to an index asks for what changed after it.
+	// Changed is the log index of the newest decision on the run. An agent that knows all orders
+	// up to an index asks for those that changed after it.
 	Changed uint64 `msgpack:"c"`
 }
 
-// waits reports whether a task of a live job needs a place.
+// waits reports whether a task of a live job needs a run.
 func (t *Task) waits() bool { return !t.Done && t.Placed == nil }
 
 // On returns the task's run on a worker, nil for none.
@@ -225,7 +224,7 @@
 	return nil
 }
 
-// Runs returns the task's runs that hold room.
+// Runs returns the task's runs that hold capacity.
 func (t *Task) Runs() []*Placed {
 	switch {
 	case t.Placed == nil:
@@ -236,7 +235,7 @@
 	return []*Placed{t.Placed, t.Copy}
 }
 
-// clear forgets one of the task's runs. A copy that is left takes its place.
+// clear removes one of the task's runs. A remaining copy becomes the task's main run.
 func (t *Task) clear(r *Placed) {
 	if r == t.Placed {
 		t.Placed = t.Copy
@@ -247,33 +246,34 @@
 // Worker is one incarnation of a worker.
 type Worker struct {
 	ID         string          `msgpack:"i"`
-	Agent      string          `msgpack:"a"` // instance of the agent beside it
+	Agent      string          `msgpack:"a"` // instance of the worker's agent
 	Service    string          `msgpack:"s"`
 	DataCentre string          `msgpack:"z"`
 	Labels     []string        `msgpack:"l"`
 	Rack       string          `msgpack:"k,omitempty"` // one of the labels
 	Capacity   resource.Vector `msgpack:"c"`
-	// Token is the fencing token of the agent's present session. It is a log
-	// index, so it rises with each.
+	// Token is the fencing token of the agent's present session. It is a log index, so it rises
+	// with each session.
 	Token uint64 `msgpack:"t"`
-	// Life tells one start of the agent from the next.
+	// Life identifies the agent's session: one process lifetime of the agent.
 	Life string `msgpack:"f"`
 	// Registered is the log index of the newest registration.
 	Registered uint64 `msgpack:"r"`
 	Draining   bool   `msgpack:"d,omitempty"`
-	// LentLate says that calls for the worker's start before may have reached this one before
-	// its agent fenced it, a moment before its first registration: its lease may be as long as
-	// workers take. The agent takes it back once that time has passed.
+	// LentLate is set if calls for the previous incarnation may have reached this one and extended
+	// its lease, before the agent fenced it just ahead of its first registration. The lease may
+	// then be as long as the longest that workers accept. The agent clears the flag once that time
+	// has passed.
 	LentLate bool `msgpack:"n,omitempty"`
 }
 
-// Loss names a worker whose lease has ended, as it was when that was decided.
+// Loss identifies a worker whose lease has ended, by its registration when that was decided.
 type Loss struct {
 	Worker     string `msgpack:"w"`
 	Registered uint64 `msgpack:"r"`
 }
 
-// HasLabel reports whether the worker carries a label.
+// HasLabel reports whether the worker has a label.
 func (w *Worker) HasLabel(label string) bool {
 	for _, l := range w.Labels {
 		if l == label {
@@ -290,7 +290,7 @@
 const (
 	OutcomeDone     Outcome = iota + 1
 	OutcomeFailed           // through its own fault or the worker's
-	OutcomeStopped          // by an order, progress saved if it can be
+	OutcomeStopped          // by an order, with a checkpoint if the task supports it
 	OutcomeLost             // the lease lapsed, or the rest of its gang ended
 	OutcomeRejected         // certainly never started
 )
@@ -305,18 +305,18 @@
 
 var outcomeNames = [...]string{"none", "done", "failed", "stopped", "lost", "rejected"}
 
-// End is the end of one run, as its worker tells it.
+// End is the end of one run, as its worker reports it.
 type End struct {
 	Task       Ref     `msgpack:"t"`
 	Run        uint32  `msgpack:"r"`
 	Outcome    Outcome `msgpack:"o"`
 	Checkpoint string  `msgpack:"c,omitempty"`
-	// WorkMS is how long the run was at work at full pace from its beginning,
-	// 0 if that is not known.
+	// WorkMS is how long the run worked at full pace from its beginning, in milliseconds, 0 if that
+	// is not known.
 	WorkMS int64 `msgpack:"w,omitempty"`
 }
 
-// Order is what an agent is to do about one run.
+// Order tells an agent to start or stop one run.
 type Order struct {
 	Task       Ref    `msgpack:"t"`
 	Run        uint32 `msgpack:"r"`
@@ -324,33 +324,33 @@
 	Payload    string `msgpack:"p,omitempty"`
 	Checkpoint string `msgpack:"c,omitempty"`
 	Ticket     string `msgpack:"k,omitempty"`
-	// TargetMS and Fills tell the agent whom to slow down for whom.
+	// TargetMS and Fills tell the agent which runs to slow down in favour of which others.
 	TargetMS int64  `msgpack:"l,omitempty"`
 	Fills    bool   `msgpack:"f,omitempty"`
 	Image    string `msgpack:"m,omitempty"`
 	MilliCPU int64  `msgpack:"u,omitempty"`
-	// Held is what the run takes of the worker's room.
+	// Held is the part of the worker's capacity that the run takes.
 	Held resource.Vector `msgpack:"h,omitempty"`
-	// AtMS and SinceMS are when the run was decided on and since when its task has waited
-	// for it, see Placed. AfterStep says that it waited for the step before.
+	// AtMS and SinceMS are when the run was placed and since when its task had waited for it, see
+	// Placed. AfterStep is set if the task depended on earlier steps.
 	AtMS      int64 `msgpack:"y,omitempty"`
 	SinceMS   int64 `msgpack:"z,omitempty"`
 	AfterStep bool  `msgpack:"a,omitempty"`
 }
 
-// Placement gives tasks of one group to workers. A gang's placement names all
-// its tasks.
+// Placement assigns tasks of one group to workers. A gang's placement names all its tasks.
 type Placement struct {
 	Job        string   `msgpack:"j"`
 	Occurrence int      `msgpack:"k"`
 	Step       int      `msgpack:"s"`
 	Indexes    []int    `msgpack:"i"`
 	Workers    []string `msgpack:"w"`
-	// Tickets, by task, come from the advisor; there are none if it need not be asked.
+	// Tickets holds the advisor's tickets, in the order of Indexes. It is empty if the advisor
+	// need not be asked.
 	Tickets []string `msgpack:"t,omitempty"`
-	// Copy places second runs of tasks that are at work already.
+	// Copy places second runs of tasks that are running already.
 	Copy bool `msgpack:"c,omitempty"`
-	// SinceMS is since when the group's tasks have waited for their first runs, see Placed.
+	// SinceMS is when the group's tasks began to wait for their first runs, see Placed.
 	SinceMS int64 `msgpack:"b,omitempty"`
 }
 
@@ -366,17 +366,17 @@
 	return r
 }
 
-// Stop asks for the end of one run.
+// Stop orders the end of one run.
 type Stop struct {
 	Task Ref    `msgpack:"t"`
 	Run  uint32 `msgpack:"r"`
 }
 
-// Plan is what the dispatcher decided from a snapshot.
+// Plan holds the dispatcher's decisions from a snapshot.
 type Plan struct {
 	Placements []Placement `msgpack:"p,omitempty"`
 	Stops      []Stop      `msgpack:"s,omitempty"`
-	// AtMS is when it was made, see Placed.
+	// AtMS is when the plan was made, see Placed.
 	AtMS int64 `msgpack:"a,omitempty"`
 }
 
--- a/jobs/validate.go
+++ b/jobs/validate.go
@@ -2,15 +2,15 @@
 
 import "github.com/waxwinghaven/waxwinghaven/refusal"
 
-// Bounds of one job. The widest step that was seen has 36 tasks and the longest
-// chain 5 steps; the bounds leave room for a hundred times that.
+// Bounds of one job. The widest step observed has 36 tasks and the longest chain 5 steps; the
+// bounds allow about a hundred times that.
 const (
 	MaxPayload = 4000 // bytes
 	MaxSteps   = 100
 	MaxTasks   = 20_000 // over all steps and occurrences
 	IDLength   = 16     // hexadecimal digits
-	// maxAmount bounds what a task may need of anything: far more than any
-	// worker has, and sums of it don't overflow.
+	// maxAmount bounds a task's need of each resource: far more than any worker has, and small
+	// enough that sums don't overflow.
 	maxAmount = 1 << 40
 )
 
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Validate reports what makes a job unusable.
+// Validate returns an error that says what is wrong with the job, nil if it is valid.
 func (s *Spec) Validate() error {
 	if len(s.Payload) > MaxPayload {
 		return invalid("shorten it to 4000 bytes", "the payload has %d bytes", len(s.Payload))
--- a/lease/attempt.go
+++ b/lease/attempt.go
@@ -9,22 +9,22 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Room is what an agent can hold, as membership knows it when a plan is applied.
+// Room is the capacity of an agent, as membership knows it when a plan is applied.
 type Room struct {
 	Boot  string          // of the worker that the agent has now
-	Total resource.Vector // without what its service keeps
+	Total resource.Vector // without the part that its service reserves
 	Open  bool            // neither down, leaving, quarantined nor in a data centre out of service
 }
 
-// Limits are looked up while a plan is applied.
+// Limits looks up capacities and quotas while a plan is applied.
 type Limits struct {
 	Room  func(agent string) Room
 	Quota func(team string) resource.Vector // zero means unbounded
 }
 
-// ApplyPlan takes over what of a plan still holds. The plan was made from a
-// snapshot, optimistically; here its capacity and fences are checked again, so
-// two plans, or two leaders' plans, never spend the same room.
+// ApplyPlan applies the parts of a plan that are still valid. The plan was made optimistically, from
+// a snapshot; capacity, attempt numbers and boots are checked again here, so two plans, even of two
+// leaders, never use the same capacity.
 func (s *State) ApplyPlan(p Plan, l Limits, now int64) PlanResult {
 	var r PlanResult
 	for _, a := range p.SetAside {
@@ -71,9 +71,9 @@
 	return cpu && memory
 }
 
-// ApplyEnd takes one report of an attempt's end. A report of any attempt but
-// the current one is stale and changes nothing: that is the fence which makes a
-// repeated, late or lost confirmation harmless.
+// ApplyEnd applies one report of an attempt's end and reports whether it took effect. A report of
+// any attempt but the current one is stale and changes nothing, so repeated, late or lost
+// confirmations are harmless.
 func (s *State) ApplyEnd(agent string, e End, now int64) bool {
 	t := s.Tasks[e.Task]
 	if t == nil || !t.Holds() || t.Attempt != e.Attempt || t.Agent != agent {
@@ -89,8 +89,8 @@
 	case e.Outcome == OutcomeDone && t.Class == market.ClassContinuous && t.Stop != StopCancel:
 		s.requeue(t, End{Reason: "it ended by itself, but is to run continuously"})
 	case e.Outcome == OutcomeDone:
-		// A completion that races an eviction or a cancellation wins:
-		// the work is done and must not be done again.
+		// A completion that races an eviction or a cancellation wins: the work is done and must
+		// not be repeated.
 		s.finish(t, Done, "", now)
 	case t.Stop == StopCancel:
 		s.finish(t, Cancelled, "cancelled by an operator", now)
@@ -111,8 +111,8 @@
 	s.requeue(t, e)
 }
 
-// requeue makes a task wait again. Its next attempt has a higher number and
-// starts from the newest checkpoint that was confirmed.
+// requeue makes a task wait again. Its next attempt gets a higher number and starts from the
+// newest confirmed checkpoint.
 func (s *State) requeue(t *Task, e End) {
 	s.unindex(t)
 	if e.Outcome == OutcomeStopped {
@@ -126,18 +126,18 @@
 }
 
 const (
-	// maxRestarts is how many workers may be started anew under a task in a row. A worker
-	// that crashes reports no failure, so a task that crashes each worker would be started
-	// again without end and take the worker's other tasks down each time; bystanders of
-	// ordinary restarts meet far fewer.
+	// maxRestarts is how many worker restarts in a row a task may see. A worker that crashes
+	// reports no failure, so a task that crashes each worker would be started again without end
+	// and take the worker's other tasks down each time. Tasks that only happen to run on a
+	// restarting worker see far fewer.
 	maxRestarts = 10
-	// restartAge is how long an attempt is at work, in ms, so that a restart clears its task
-	// rather than counting against it.
-	restartAge = 60_000
+	// restartWindowMS is the age of an attempt from which a worker restart no longer counts against
+	// its task and resets the count.
+	restartWindowMS = 60_000
 )
 
-// ApplyWorkerRestarted requeues what a worker held before it was started anew, and sets
-// tasks aside under which that happened too often.
+// ApplyWorkerRestarted requeues the tasks of a worker that has restarted and returns how many there
+// were. It sets aside tasks under which workers restarted too often.
 func (s *State) ApplyWorkerRestarted(agent, boot string, now int64) int {
 	var crashing []*Task
 	for _, id := range sortedIDs(s.byAgent[agent]) {
@@ -145,7 +145,7 @@
 		switch {
 		case t.Boot != boot:
 			continue
-		case now-t.PlacedAt >= restartAge:
+		case now-t.PlacedAt >= restartWindowMS:
 			t.Restarts = 0
 		default:
 			t.Restarts++
@@ -163,8 +163,8 @@
 	return n
 }
 
-// ApplyAgentLost requeues what an agent's worker held under one boot. It may
-// be committed only after the agent's lease has certainly ended at the worker.
+// ApplyAgentLost requeues the tasks of an agent's worker under one boot and returns how many there
+// were. It may be committed only after the agent's lease has certainly ended at the worker.
 func (s *State) ApplyAgentLost(agent, boot string, now int64) int {
 	n := 0
 	for _, id := range sortedIDs(s.byAgent[agent]) {
@@ -178,7 +178,7 @@
 	return n
 }
 
-// Orders returns what an agent is to hold, in order of task id.
+// Orders returns the attempts that an agent is to hold, sorted by task id.
 func (s *State) Orders(agent string) []Order {
 	held := s.byAgent[agent]
 	out := make([]Order, 0, len(held))
@@ -190,7 +190,7 @@
 	return out
 }
 
-// Digest sums up a set of orders, whatever their order. An agent and a control
+// Digest returns a hash of a set of orders, independent of their sequence. An agent and a control
 // replica with equal digests need not exchange the orders.
 func Digest(orders []Order) uint64 {
 	var sum uint64
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// clockMargin widens a lease at the leader against a worker whose clock runs
-// slower: one twentieth of the term is far more than what clocks are off.
+// clockMargin is the divisor for the margin that the leader adds to a term against a worker whose
+// clock runs slower. One twentieth of the term is far more than clocks differ.
 const clockMargin = 20
 
-// Keeper is a leader's book of leases by holder, of which each has one lease in its life. It is
-// pure: the time is passed. It is lost with the leadership, and a new leader starts an empty one.
+// Keeper is a leader's lease table, with one entry per holder; a holder has one lease over its
+// lifetime. It reads no clock: callers pass the time. It is lost with the leadership, and a new
+// leader starts with an empty one.
 //
-// The lease ends at the worker first: the worker counts the term from before
-// the renewal was sent, the keeper from when it was answered, with a margin.
+// A lease ends at the worker before it ends here: the worker counts the term from before the
+// renewal was sent, the table from when it was answered, plus a margin.
 type Keeper[Holder comparable] struct {
 	term   time.Duration
 	since  time.Time
-	leases map[Holder]*held
+	leases map[Holder]*leaseEntry
 }
 
-type held struct {
+type leaseEntry struct {
 	expires time.Time
 	granted time.Time // zero before the first grant under this leader
-	// closing is set from the decision that the lease has ended until that
-	// is committed. A renewal granted in between would let the agent believe
-	// in a lease which the log then ends.
+	// closing is set from the decision that the lease has ended until that is committed. A
+	// renewal granted in between would give the agent a lease that the log then ends.
 	closing bool
 }
 
-// NewKeeper returns the book of a leader that leads since now.
+// NewKeeper returns the lease table of a leader whose leadership begins at now.
 func NewKeeper[Holder comparable](term time.Duration, now time.Time) *Keeper[Holder] {
-	return &Keeper[Holder]{term: term, since: now, leases: make(map[Holder]*held)}
+	return &Keeper[Holder]{term: term, since: now, leases: make(map[Holder]*leaseEntry)}
 }
 
-func (k *Keeper[Holder]) full() time.Duration { return WithMargin(k.term) }
+func (k *Keeper[Holder]) termWithMargin() time.Duration { return WithMargin(k.term) }
 
-// WithMargin is a term as its lender counts it, whose holder's clock may run slower.
+// WithMargin returns a term as the grantor counts it: with a margin for a holder whose clock runs
+// slower.
 func WithMargin(term time.Duration) time.Duration { return term + term/clockMargin }
 
-// Note takes a holder into the book that is new to it, and may be given a lease from now on:
-// it has a whole term. Without it a holder is taken for one from before the leadership.
+// Note adds a new holder, which may be granted a lease from now on, with a whole term. A holder
+// that was not added is treated as one from before the leadership.
 func (k *Keeper[Holder]) Note(holder Holder, now time.Time) { k.NoteFor(holder, now, k.term) }
 
-// NoteFor does the same for a holder that somebody else may have lent a term of its own until now.
+// NoteFor is like Note for a holder that may have been granted another term elsewhere until now. The
+// longer of the two terms counts.
 func (k *Keeper[Holder]) NoteFor(holder Holder, now time.Time, term time.Duration) {
 	if k.leases[holder] == nil {
-		k.leases[holder] = &held{expires: now.Add(WithMargin(max(term, k.term))), granted: now}
+		k.leases[holder] = &leaseEntry{expires: now.Add(WithMargin(max(term, k.term))), granted: now}
 	}
 }
 
-// Grant extends a holder's lease and reports whether it did: not while the end
-// of the old one is being committed.
+// Grant extends a holder's lease and reports whether it did. It refuses while the end of the
+// holder's lease is being committed.
 func (k *Keeper[Holder]) Grant(holder Holder, now time.Time) bool {
 	h := k.leases[holder]
 	if h == nil {
-		h = &held{}
+		h = &leaseEntry{}
 		k.leases[holder] = h
 	}
 	if h.closing {
 		return false
 	}
-	if now.After(h.granted) { // goroutines come late
+	if now.After(h.granted) { // grants may be recorded out of order
 		h.granted = now
 	}
-	if end := now.Add(k.full()); end.After(h.expires) {
+	if end := now.Add(k.termWithMargin()); end.After(h.expires) {
 		h.expires = end
 	}
 	return true
 }
 
-// Close reports whether a holder's lease has certainly ended, and if so refuses
-// renewals until Reopen. A holder that never renewed under this leader may
-// hold a lease from an older one, so it is given a whole term.
+// Close reports whether a holder's lease has certainly ended, and if so refuses renewals until
+// Reopen. A holder that has not renewed under this leader may hold a lease from an older one, so its
+// lease counts as running for a whole term from the start of the leadership.
 func (k *Keeper[Holder]) Close(holder Holder, now time.Time) bool {
-	end := k.since.Add(k.full())
+	end := k.since.Add(k.termWithMargin())
 	h := k.leases[holder]
 	if h != nil && h.expires.After(end) {
 		end = h.expires
@@ -83,18 +85,18 @@
 		return false
 	}
 	if h == nil {
-		h = &held{}
+		h = &leaseEntry{}
 		k.leases[holder] = h
 	}
 	h.closing = true
 	return true
 }
 
-// Age is for how long the book's leader has led.
+// Age returns how long the leader has led.
 func (k *Keeper[Holder]) Age(now time.Time) time.Duration { return now.Sub(k.since) }
 
-// Ungranted is how long ago this leader granted or noted a holder's lease last, or, if it never
-// did, for how long it has led.
+// Ungranted returns the time since this leader last granted a holder's lease or added the holder,
+// or, if it never did, how long it has led.
 func (k *Keeper[Holder]) Ungranted(holder Holder, now time.Time) time.Duration {
 	h := k.leases[holder]
 	if h == nil || h.granted.IsZero() {
@@ -103,12 +105,12 @@
 	return now.Sub(h.granted)
 }
 
-// Reopen lets a holder renew again, and forgets what the book knew of it. It may be called only
-// when the end of its lease is seen to be committed: as long as that is not known, it may still be,
-// and a renewal granted meanwhile would be for attempts that are given away.
+// Reopen lets a holder renew again, and discards its entry. It may be called only once the end of
+// the holder's lease is known to be committed. Until then the commit may still happen, and a renewal
+// granted meanwhile would be for attempts that are reassigned.
 func (k *Keeper[Holder]) Reopen(holder Holder) { delete(k.leases, holder) }
 
-// Retain drops the holders that don't exist any more.
+// Retain removes the holders for which exists returns false.
 func (k *Keeper[Holder]) Retain(exists func(Holder) bool) {
-	maps.DeleteFunc(k.leases, func(h Holder, _ *held) bool { return !exists(h) })
+	maps.DeleteFunc(k.leases, func(h Holder, _ *leaseEntry) bool { return !exists(h) })
 }
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -9,21 +9,21 @@
 
 var epoch = time.Unix(1000, 0)
 
-// A new leader knows no renewals. An agent may hold a lease from the old one, so
-// it is taken for gone only after a whole term and the margin for its clock.
+// A new leader knows no renewals. An agent may hold a lease from the old leader, so its lease must
+// count as ended only after a whole term and the clock margin.
 func TestNewLeaderWaitsOutATerm(t *testing.T) {
 	k := NewKeeper[string](testTerm, epoch)
 	if k.Close("a", epoch.Add(testTerm)) {
-		t.Fatal("taken for gone while a lease of the old leader may run")
+		t.Fatal("the lease was ended while one of the old leader may run")
 	}
 	if !k.Close("a", epoch.Add(testTerm+testTerm/clockMargin)) {
-		t.Fatal("never taken for gone")
+		t.Fatal("the lease is never ended")
 	}
 }
 
-// The end of a lease is decided, but not yet committed, when the agent's renewal
-// comes after all. It must be refused: the log is about to give its attempts away.
-// When the end is seen committed the agent may renew again, without them.
+// An agent's renewal arrives when the end of its lease has been decided but not committed. It must
+// be refused, since the log is about to reassign the agent's attempts. Once the end is known to be
+// committed the agent may renew again, without those attempts.
 func TestRenewalIsRefusedWhileItsEndIsCommitted(t *testing.T) {
 	k := NewKeeper[string](testTerm, epoch)
 	now := epoch.Add(2 * testTerm)
@@ -39,26 +39,26 @@
 	}
 	k.Reopen("a")
 	if !k.Grant("a", now) || k.Close("a", now) {
-		t.Fatal("the agent cannot renew any more")
+		t.Fatal("the agent cannot renew after Reopen")
 	}
 }
 
-// Guards against a holder that is taken for gone as soon as it is there: the leader is older than
-// a term, and its book doesn't know it yet.
-func TestHolderThatIsNewToTheBookHasAWholeTerm(t *testing.T) {
+// Guards against ending the lease of a new holder immediately: the leadership is older than a term,
+// and the lease table has no entry for the holder yet.
+func TestNewHolderHasAWholeTerm(t *testing.T) {
 	k := NewKeeper[string](testTerm, epoch)
 	now := epoch.Add(10 * testTerm)
 	k.Note("a", now)
 	k.Note("a", now.Add(testTerm)) // known already
 	if k.Close("a", now.Add(testTerm)) {
-		t.Fatal("taken for gone while it may have been given a lease")
+		t.Fatal("the lease was ended while it may have been granted")
 	}
 	if !k.Close("a", now.Add(testTerm+testTerm/clockMargin)) {
-		t.Fatal("never taken for gone")
+		t.Fatal("the lease is never ended")
 	}
 	k.Note("a", now.Add(2*testTerm))
 	if k.Grant("a", now.Add(2*testTerm)) {
-		t.Error("a holder that is noted again is let in while its end is being committed")
+		t.Error("a holder that is noted again is granted a lease while the end of its lease is being committed")
 	}
 	k.Retain(func(string) bool { return false })
 	k.Note("a", now.Add(2*testTerm))
@@ -67,8 +67,7 @@
 	}
 }
 
-// Guards against a lease that is ended early: a grant that was read off an earlier clock is entered
-// after a later one.
+// Guards against ending a lease early: a grant with an earlier time is recorded after a later one.
 func TestGrantThatComesLateShortensNothing(t *testing.T) {
 	k := NewKeeper[string](testTerm, epoch)
 	later := epoch.Add(2 * testTerm)
--- a/lease/queue.go
+++ b/lease/queue.go
@@ -2,10 +2,9 @@
 
 import "sort"
 
-// queues holds the waiting tasks, one list per job, oldest first. Tasks of one
-// job want the same room, so a scheduling pass needs to see only the head of
-// each list: work per pass does not grow with the number of waiting tasks, and
-// a job that cannot be placed holds up no other.
+// queues holds the waiting tasks, one list per job, oldest first. Tasks of one job need the same
+// resources, so a scheduling pass looks only at the head of each list: its cost does not grow with
+// the number of waiting tasks, and a job that cannot be placed does not block others.
 type queues struct {
 	byJob map[jobKey][]*Task
 	count int
--- a/lease/runtimes.go
+++ b/lease/runtimes.go
@@ -1,19 +1,19 @@
 package lease
 
-// learnWeight is the weight of one finished task in a job's run time.
+// learnWeight is the weight of the newest finished task in a job's moving average of run times.
 const learnWeight = 0.2
 
-// RunTimes learns how long a job's tasks really run. Declared times are often
-// far off, in both directions.
+// RunTimes estimates the run times of jobs' tasks from finished ones, since declared times are
+// often far off in both directions.
 type RunTimes struct {
 	byJob map[jobKey]float64
-	last  string // the newest finished task that was taken in
+	last  string // the newest finished task that Update has seen
 }
 
-// NewRunTimes returns a book that knows nothing.
+// NewRunTimes returns estimates without any observations.
 func NewRunTimes() *RunTimes { return &RunTimes{byJob: make(map[jobKey]float64)} }
 
-// Update takes in the tasks finished since the last call.
+// Update learns from the tasks that finished since the last call.
 func (r *RunTimes) Update(s *State) {
 	f := s.Finished
 	start := len(f)
@@ -28,8 +28,8 @@
 	}
 }
 
-// learn takes in a task that ran through in one attempt; the others' times say
-// nothing about one run.
+// learn updates the estimate from a task that was never evicted. The others' times say nothing
+// about one run.
 func (r *RunTimes) learn(t *Task) {
 	if t == nil || t.Phase != Done || t.Evictions > 0 || t.PlacedAt == 0 {
 		return
--- a/lease/state.go
+++ b/lease/state.go
@@ -13,7 +13,7 @@
 	MaxCount       = 10_000    // tasks in one submission
 	MaxTasks       = 400_000   // tasks not yet over
 	MaxFinished    = 20_000    // finished tasks that can still be looked up
-	MaxSubmissions = 200_000   // remembered submissions
+	MaxSubmissions = 200_000   // submissions remembered for deduplication
 	Retention      = 86400_000 // milliseconds a submission is remembered
 	clockSlack     = 600_000   // milliseconds by which clocks may differ
 
@@ -46,7 +46,7 @@
 	return s
 }
 
-// Rebuild derives the indexes after a snapshot was read.
+// Rebuild computes the derived fields after a snapshot was read.
 func (s *State) Rebuild() {
 	if s.Tasks == nil {
 		s.Tasks = make(map[string]*Task)
@@ -64,9 +64,9 @@
 	}
 }
 
-// index enters a task into the derived maps; unindex takes it out. Every
-// change of Phase or Agent happens between the two, so the room of an agent is
-// always the sum over the attempts that hold it.
+// index adds a task to the derived maps, unindex removes it. Every change of Phase or Agent happens
+// between unindex and index, so the reserved capacity of an agent always equals the sum over the
+// attempts that hold it.
 func (s *State) index(t *Task) {
 	switch {
 	case t.Holds():
@@ -98,25 +98,26 @@
 	}
 }
 
-// Reserved returns the room that attempts hold on an agent.
+// Reserved returns the capacity that attempts hold on an agent.
 func (s *State) Reserved(agent string) resource.Vector { return s.reserved[agent] }
 
-// TeamUse returns the room that a team's attempts hold.
+// TeamUse returns the capacity that a team's attempts hold.
 func (s *State) TeamUse(team string) resource.Vector { return s.byTeam[team] }
 
-// Waiting counts the tasks that wait for a place.
+// Waiting returns the number of tasks that wait for placement.
 func (s *State) Waiting() int { return s.waiting.count }
 
 // WaitingHeads returns copies of the oldest n waiting tasks of each job.
 func (s *State) WaitingHeads(n int) []*Task { return s.waiting.heads(n) }
 
-// Version changes whenever the tasks on an agent do.
+// Version returns a number that changes whenever the tasks on an agent change.
 func (s *State) Version(agent string) uint64 { return s.versions[agent] }
 
-// On returns the tasks that hold room on an agent. The map must not be changed.
+// On returns the tasks that hold capacity on an agent. The map must not be changed.
 func (s *State) On(agent string) map[string]*Task { return s.byAgent[agent] }
 
-// ApplySubmit makes the tasks of a submission. job is the job as it is in force.
+// ApplySubmit creates the tasks of a submission and returns the id of the first. job is the job's
+// definition in force, nil if there is none. A repeated submission gets the first answer again.
 func (s *State) ApplySubmit(c Submit, job *market.Job, now int64) (first string, err error) {
 	if old, ok := s.Submissions[c.ID]; ok {
 		if old.What != c {
@@ -145,8 +146,8 @@
 	case job == nil:
 		return refusal.New(refusal.NotFound, "make the job first, or check the spelling", "job %s/%s does not exist", c.Market, c.Job)
 	case c.IssuedMS < now-Retention+clockSlack || c.IssuedMS > now+clockSlack:
-		// A submission older than the memory of submissions could be one
-		// that ran already. Refusing it is what keeps it from running twice.
+		// A submission older than Retention may have run already and been forgotten. Refusing it
+		// keeps it from running twice.
 		return refusal.New(refusal.Invalid, "check the clock, look whether its tasks ran, and submit anew under a new id", "the submission was issued too long ago or in the future")
 	case len(s.Submissions) >= MaxSubmissions && s.Submissions[s.SubmitOrder[0]].At > now-Retention:
 		return refusal.New(refusal.Overloaded, "submit more tasks at a time, or wait", "%d submissions were made within a day", MaxSubmissions)
@@ -183,7 +184,7 @@
 	s.index(t)
 }
 
-// ApplyCancel ends waiting tasks at once and asks for the stop of placed ones.
+// ApplyCancel cancels waiting tasks immediately and orders the stop of placed ones.
 func (s *State) ApplyCancel(c Cancel, now int64) CancelAnswer {
 	var a CancelAnswer
 	for _, id := range c.Tasks {
--- a/lease/state_test.go
+++ b/lease/state_test.go
@@ -7,9 +7,9 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// restarted places a task on an agent's worker, which is started anew after so many ms, and
+// placeAndRestart places a task on an agent's worker, restarts the worker after age milliseconds and
 // returns the task.
-func restarted(t *testing.T, s *State, id string, age int64, now *int64) *Task {
+func placeAndRestart(t *testing.T, s *State, id string, age int64, now *int64) *Task {
 	t.Helper()
 	limits := Limits{Room: func(string) Room {
 		return Room{Boot: "boot", Total: resource.Vector{MilliCPU: 1000, MemoryMB: 1000}, Open: true}
@@ -23,10 +23,10 @@
 	return s.Tasks[id]
 }
 
-// A render crashes the worker that starts it. The worker reports no failure, it is just
-// there anew, so the render was started again without end and took the worker's other tasks
-// down each time. It is set aside with a reason; one that worked for long in between is not.
-func TestTaskUnderWhichWorkersAreStartedAnewIsSetAside(t *testing.T) {
+// A task crashes the worker that starts it. The worker reports no failure but only restarts, so the
+// task would be started again without end and take the worker's other tasks down each time. It must
+// be set aside with a reason, unless it worked for long in between.
+func TestTaskWhoseWorkersKeepRestartingIsSetAside(t *testing.T) {
 	job := &market.Job{Name: "render", Team: "team", Class: market.ClassBatch, MilliCPU: 100, MemoryMB: 10, RunTimeMS: 1000}
 	for _, c := range []struct {
 		name string
@@ -35,7 +35,7 @@
 		want Phase
 	}{
 		{"each time soon after its start", []int64{10}, maxRestarts, SetAside},
-		{"now and then", []int64{10, 10, restartAge}, 4 * maxRestarts, Waiting},
+		{"now and then", []int64{10, 10, restartWindowMS}, 4 * maxRestarts, Waiting},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, now := NewState(), int64(1000)
@@ -44,7 +44,7 @@
 			}
 			id := taskID("s", 0)
 			for n := range c.most {
-				task := restarted(t, s, id, c.ages[n%len(c.ages)], &now)
+				task := placeAndRestart(t, s, id, c.ages[n%len(c.ages)], &now)
 				if task.Phase != Waiting && n < c.most-1 {
 					t.Fatalf("%v after %d restarts: %s", task.Phase, n+1, task.Reason)
 				}
--- a/lease/types.go
+++ b/lease/types.go
@@ -1,6 +1,6 @@
-// Package lease holds the tasks and their attempts. State is a pure state
-// machine under the quorum's log: which attempt of a task may run, where, and
-// from which checkpoint, is committed before a worker hears of it.
+// Package lease holds the market's tasks with their attempts, and the lease table of a leader. State
+// is a deterministic state machine driven by the quorum's log: which attempt of a task may run,
+// where, and from which checkpoint, is committed before a worker is told.
 package lease
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Phase is where a task stands.
+// Phase is the state of a task.
 type Phase string
 
-// The phases. Only Placed and Stopping hold room on an agent.
+// The phases. Only Placed and Stopping tasks hold capacity on an agent.
 const (
 	Waiting   Phase = "waiting"
 	Placed    Phase = "placed"
@@ -24,8 +24,7 @@
 // Ran tells whether any attempt of a task was ever started.
 type Ran string
 
-// What is known of a task's starts. RanNo is said only when every attempt was
-// certified as never started.
+// The values of Ran. RanNo is reported only if every attempt was confirmed as never started.
 const (
 	RanNo    Ran = "not-run"
 	RanMaybe Ran = "unknown"
@@ -38,8 +37,8 @@
 // The stop modes.
 const (
 	StopNone       StopMode = iota
-	StopCheckpoint          // save, then stop: the task resumes elsewhere
-	StopCancel              // stop for good
+	StopCheckpoint          // save a checkpoint, then stop: the task resumes elsewhere
+	StopCancel              // stop permanently
 )
 
 // Task is one unit of a job's work.
@@ -60,7 +59,7 @@
 	Ended       int64    `msgpack:"e,omitempty" json:"ended_ms,omitempty"`
 	Phase       Phase    `msgpack:"p" json:"phase"`
 	Attempt     uint32   `msgpack:"a" json:"attempt"`
-	Rejected    uint32   `msgpack:"x,omitempty" json:"-"` // attempts certified as never started
+	Rejected    uint32   `msgpack:"x,omitempty" json:"-"` // attempts confirmed as never started
 	Started     bool     `msgpack:"z,omitempty" json:"-"`
 	Agent       string   `msgpack:"g,omitempty" json:"agent,omitempty"`
 	Boot        string   `msgpack:"o,omitempty" json:"-"`
@@ -69,13 +68,13 @@
 	Failures    int      `msgpack:"f,omitempty" json:"failures,omitempty"`
 	MaxFailures int      `msgpack:"q,omitempty" json:"-"`
 	Evictions   int      `msgpack:"v,omitempty" json:"evictions,omitempty"`
-	// Restarts counts the workers that were started anew under the task in a row, each
-	// within restartAge of the task's start.
+	// Restarts counts the worker restarts under the task in a row, each within restartWindowMS of
+	// its placement.
 	Restarts int    `msgpack:"y,omitempty" json:"restarts,omitempty"`
 	Reason   string `msgpack:"w,omitempty" json:"reason,omitempty"`
 }
 
-// Ran tells whether the task was ever started.
+// Ran reports whether the task was ever started, as far as that is known.
 func (t *Task) Ran() Ran {
 	switch {
 	case t.Started:
@@ -86,7 +85,7 @@
 	return RanMaybe
 }
 
-// Holds reports whether the task holds room on an agent.
+// Holds reports whether the task holds capacity on an agent.
 func (t *Task) Holds() bool { return t.Phase == Placed || t.Phase == Stopping }
 
 // Over reports whether the task will not run again.
@@ -94,7 +93,7 @@
 	return t.Phase == Done || t.Phase == SetAside || t.Phase == Cancelled
 }
 
-// Submit asks for tasks of a job. Sent again under the same ID it gets the
+// Submit is the command that submits tasks of a job. Sent again under the same ID it gets the
 // first answer.
 type Submit struct {
 	ID     string `msgpack:"i" json:"id"`
@@ -106,50 +105,50 @@
 	IssuedMS int64 `msgpack:"s" json:"issued_ms"`
 }
 
-// Cancel ends all tasks of a job, or the ones named.
+// Cancel is the command that cancels the named tasks and, if Job is set, all tasks of that job.
 type Cancel struct {
 	Market string   `msgpack:"m" json:"market"`
 	Job    string   `msgpack:"j,omitempty" json:"job,omitempty"`
 	Tasks  []string `msgpack:"t,omitempty" json:"tasks,omitempty"`
 }
 
-// CancelAnswer counts what a cancellation found.
+// CancelAnswer counts the tasks of a cancellation by result.
 type CancelAnswer struct {
 	Cancelled int `msgpack:"c" json:"cancelled"` // will certainly not start
 	Stopping  int `msgpack:"s" json:"stopping"`  // placed: may have run
 	Over      int `msgpack:"o" json:"already_over"`
 }
 
-// Placement gives a waiting task to an agent.
+// Placement assigns a waiting task to an agent.
 type Placement struct {
 	Task  string `msgpack:"t"`
 	Agent string `msgpack:"g"`
 	Boot  string `msgpack:"b"`
-	// Attempt is the one that the plan was made for, so that a plan made
-	// from an old snapshot cannot start a task twice.
+	// Attempt is the number that the new attempt is to have, so that a plan made from an old
+	// snapshot cannot start a task twice.
 	Attempt uint32 `msgpack:"a"`
 }
 
-// Eviction asks for a checkpoint and stop of one attempt.
+// Eviction orders a checkpoint and stop of one attempt.
 type Eviction struct {
 	Task    string `msgpack:"t"`
 	Attempt uint32 `msgpack:"a"`
 }
 
-// SetAsideTask takes a task that can never run out of the queue.
+// SetAsideTask removes a task that can never run from the queue.
 type SetAsideTask struct {
 	Task   string `msgpack:"t"`
 	Reason string `msgpack:"r"`
 }
 
-// Plan is what a scheduling pass decided from a snapshot.
+// Plan holds the decisions of a scheduling pass from a snapshot.
 type Plan struct {
 	Placements []Placement    `msgpack:"p,omitempty"`
 	Evictions  []Eviction     `msgpack:"e,omitempty"`
 	SetAside   []SetAsideTask `msgpack:"s,omitempty"`
 }
 
-// PlanResult counts what of a plan took effect.
+// PlanResult counts the decisions of a plan by result.
 type PlanResult struct {
 	Placed, Stale, NoRoom, Evicted, SetAside int
 }
@@ -161,7 +160,7 @@
 const (
 	OutcomeDone     Outcome = "done"
 	OutcomeFailed   Outcome = "failed"
-	OutcomeStopped  Outcome = "stopped"  // evicted or cancelled; checkpoint saved if asked for
+	OutcomeStopped  Outcome = "stopped"  // evicted or cancelled; checkpoint saved if ordered
 	OutcomeRejected Outcome = "rejected" // certainly never started
 	OutcomeLost     Outcome = "lost"     // the lease ended, or the worker restarted
 )
@@ -175,7 +174,7 @@
 	Reason     string  `msgpack:"r,omitempty" json:"reason,omitempty"`
 }
 
-// Order is what an agent is to do with one attempt.
+// Order tells an agent to hold or stop one attempt.
 type Order struct {
 	Task       string          `msgpack:"t" json:"task"`
 	Attempt    uint32          `msgpack:"a" json:"attempt"`
