--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// crashFourTimesBesideSuspects lets four workers crash under a task, each time beside a task that has
+// crashFourTimesBesideSuspects crashes four workers under a task, each time beside a task that has
 // crashed workers before.
 func crashFourTimesBesideSuspects(w *fixture, ref Ref) {
 	for n := range 4 {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Guards against giving a task up for a crash that lowers its odds: its isolated run lasted, and a
-// task that began later on the worker crashed it.
+// Guards against giving a task up for a crash that lowers its odds: its isolated run did not crash
+// the worker for the whole isolation time, and a task that began after that did.
 func TestCrashThatLowersOddsGivesNoTaskUp(t *testing.T) {
 	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
@@ -184,8 +184,8 @@
 	}
 }
 
-// Guards against starting a task more often than its callers tolerate because one of its starts was
-// not answered although it crashed its worker.
+// Guards against starting a task more often than its callers tolerate because one of its starts
+// was not answered although it crashed its worker.
 func TestUnansweredStartCountsTowardsTheLimit(t *testing.T) {
 	w := newFixture(t, "w1")
 	w.submit(crashID, step(2, 500))
@@ -240,8 +240,8 @@
 	}
 }
 
-// If a task with earlier crashes was on the worker, it is the likely cause: the odds of another task
-// that had just begun must hardly rise.
+// If a task with earlier crashes was on the worker, it is the likely cause: the odds of another
+// task that had just begun must hardly rise.
 func TestAKnownSuspectExplainsACrash(t *testing.T) {
 	w := newFixture(t, "w1")
 	w.submit(crashID, step(1, 500))
@@ -260,8 +260,8 @@
 	}
 }
 
-// An agent's crash report may arrive twice, because the call is sent again, or only after the end of
-// the lease has made the runs void and the next ones have begun.
+// An agent's crash report may arrive twice, because the call is sent again, or only after the end
+// of the lease has made the runs void and the next ones have begun.
 func TestACrashCountsOnceHoweverOftenAndLateItIsTold(t *testing.T) {
 	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(1, 500))
@@ -284,7 +284,8 @@
 	}
 }
 
-// A lapsed lease, a replaced incarnation without a crash report and a rejected start are not crashes.
+// A lapsed lease, an incarnation replaced without a crash report and a rejected start are no
+// crashes.
 func TestOtherEndsRaiseNoSuspicion(t *testing.T) {
 	w := newFixture(t, "w1", "w2")
 	w.submit(crashID, step(1, 500))
@@ -303,8 +304,8 @@
 	}
 }
 
-// A standing task sees ordinary crashes over its whole run time. A long run before a crash must clear
-// it of suspicion.
+// A standing task sees ordinary crashes over its whole run time. A long run before a crash must
+// clear it of suspicion.
 func TestLongWorkClearsAStandingTask(t *testing.T) {
 	w := newFixture(t, "w1")
 	w.submit(crashID, Step{Count: 1, Need: resource.Vector{MilliCPU: 500, MemoryMB: 10}, Standing: true})
