--- a/jobs/register.go
+++ b/jobs/register.go
@@ -18,8 +18,8 @@
 // Outdated returns an error if a registration comes too late: a newer session of the agent has
 // registered, or the session's own worker was lost. A session whose worker was lost knows runs that
 // are void; registered again, it would start them or keep them running. update marks a session's
-// second registration or a later one, which is checked whatever its token, since sessions switch
-// to higher ones.
+// second registration or a later one. It is outdated unless its session is the registered one,
+// whatever its token, since sessions switch to higher tokens.
 func (s *State) Outdated(w *Worker, update bool) error {
 	if now := s.byAgent[w.Agent]; now != nil && now.Life == w.Life {
 		return nil // an update, or the same registration again
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -231,7 +231,7 @@
 	w.lose("w1")
 	ref := Ref{idA, 0, 0, 0}
 	w.end("w9", ref, 2, OutcomeDone, "")   // never ordered
-	w.end("w9", ref, 1, OutcomeFailed, "") // not a done end
+	w.end("w9", ref, 1, OutcomeFailed, "") // a late failure does not count
 	if w.Ready()[0].Waiting() != 2 {
 		t.Fatalf("%d tasks wait, want 2", w.Ready()[0].Waiting())
 	}
@@ -333,7 +333,7 @@
 		}
 	}
 	if len(w.Tokens) != retainedTokens+10 {
-		t.Fatalf("%d tokens are kept although messages of their agents may still be in transit", len(w.Tokens))
+		t.Fatalf("%d tokens are kept, want all of agents whose messages may still be in transit", len(w.Tokens))
 	}
 	w.ApplyRegister(Worker{ID: "late", Agent: "late", Life: "1", Service: "vault"}, 2*tokenRetention)
 	if len(w.Tokens) != 2 || w.Tokens["w0"] == 0 {
@@ -382,8 +382,8 @@
 	}
 }
 
-// Rejected, lost and stopped runs are not failures of the task and must not count as attempts.
-// Otherwise a job could fail without any task failing.
+// Runs that were rejected, stopped or lost, also through the end of another gang member, are not
+// failures of the task and must not count as attempts: a job would fail without a cause.
 func TestOnlyFailedRunsCountAsAttempts(t *testing.T) {
 	w := newFixture(t, "w1")
 	w.submit(idA, step(1, 100))
--- a/lease/types.go
+++ b/lease/types.go
@@ -135,7 +135,7 @@
 	Attempt uint32 `msgpack:"a"`
 }
 
-// SetAsideTask removes a task that can never run from the queue.
+// SetAsideTask removes from the queue a task that can never run.
 type SetAsideTask struct {
 	Task   string `msgpack:"t"`
 	Reason string `msgpack:"r"`
