--- a/placement/baseline.go
+++ b/placement/baseline.go
@@ -6,20 +6,20 @@
 	"github.com/waxwinghaven/waxwinghaven/lease"
 )
 
-// FirstFit is a yardstick: the first worker with room, in the same order of
-// tasks and within the same share, knowing nothing of interference.
+// FirstFit is a baseline policy: it places each task on the first worker with enough capacity, in
+// the same order and within the same batch share as Learned, without regard to interference.
 type FirstFit struct{}
 
-// Name returns the policy's name, as the score shows it.
+// Name returns the policy's name as the score tool prints it.
 func (FirstFit) Name() string { return "first-fit" }
 
 // Plan implements Policy.
 func (FirstFit) Plan(s *Snapshot) Decision { return simplePlan(s, func(n int) int { return 0 }) }
 
-// Random is a yardstick: any worker with room.
+// Random is a baseline policy: it places each task on a random worker with enough capacity.
 type Random struct{}
 
-// Name returns the policy's name, as the score shows it.
+// Name returns the policy's name as the score tool prints it.
 func (Random) Name() string { return "random" }
 
 // Plan implements Policy.
@@ -28,11 +28,11 @@
 	return simplePlan(s, rng.IntN)
 }
 
-// Reactive is a yardstick: first fit, and an eviction wherever a service was
-// late in the last report.
+// Reactive is a baseline policy: first fit, plus an eviction wherever a service was late in the
+// last report.
 type Reactive struct{}
 
-// Name returns the policy's name, as the score shows it.
+// Name returns the policy's name as the score tool prints it.
 func (Reactive) Name() string { return "reactive" }
 
 // Plan implements Policy.
@@ -50,8 +50,8 @@
 	return p
 }
 
-// newest returns the attempt that started last: the usual suspect of a rule
-// that knows nothing else.
+// newest returns the evictable attempt that started last, the most likely cause of a slowdown for
+// a policy without a cost model.
 func newest(w *Worker) (Running, bool) {
 	best, ok := Running{}, false
 	for _, r := range w.Running {
@@ -62,11 +62,11 @@
 	return best, ok
 }
 
-// simplePlan places each task on the first worker that has room, looking from
-// where start says.
+// simplePlan places each task on the first worker with enough capacity, searching from the index
+// that start returns for n workers.
 func simplePlan(s *Snapshot, start func(n int) int) Decision {
 	p := newPlanner(s)
-	for _, t := range inOrder(s) {
+	for _, t := range byUrgency(s) {
 		if len(p.plan.Placements) >= s.MaxPlacements || len(p.open) == 0 {
 			break
 		}
@@ -91,6 +91,6 @@
 		}
 	}
 	if t.Urgent {
-		p.makeRoom(t)
+		p.preemptFor(t)
 	}
 }
--- a/placement/place.go
+++ b/placement/place.go
@@ -11,70 +11,71 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Tuning of the policy.
+// Parameters of the policy.
 const (
-	// sampled is how many workers are compared for one task. Comparing all
-	// 2,700 would cost 50 times as much for a placement hardly better.
-	sampled = 32
-	// urgentEvictions bounds what may give way to one urgent task.
-	urgentEvictions = 8
-	// hurryFactor of the run time: a task with less slack may cost the
-	// service more, in the measure that the preset weighs throughput.
-	hurryFactor = 2.0
+	// sampleSize is how many workers are compared for one task. Comparing all 2,700 would cost 50
+	// times as much for a hardly better placement.
+	sampleSize = 32
+	// maxUrgentEvictions limits the tasks evicted for one urgent task.
+	maxUrgentEvictions = 8
+	// shortSlackFactor is a multiple of a task's run time. A task with less slack may slow down
+	// the service more, in proportion to the preset's weight for throughput.
+	shortSlackFactor = 2.0
 )
 
-// Learned is the policy in use: it places by learned cost and the preset's
-// weight, most urgent and least slack first, and evicts in steps.
+// Learned is the policy in production use. It places tasks by learned cost and the preset's
+// weights, urgent tasks and those with the least slack first. It throttles tasks before it evicts
+// them.
 type Learned struct{}
 
-// Name returns the policy's name, as the score shows it.
+// Name returns the policy's name as the score tool prints it.
 func (Learned) Name() string { return "learned" }
 
 // Plan implements Policy.
 func (Learned) Plan(s *Snapshot) Decision {
 	p := newPlanner(s)
 	p.placeAll()
-	p.relieveAll()
+	p.mitigateAll()
 	return p.plan
 }
 
-// planner is one pass. It owns copies of what it changes.
+// planner is the state of one pass. It owns copies of what it changes.
 type planner struct {
-	s       *Snapshot
-	rng     *rand.Rand
-	workers []Worker
-	open    []int // indexes of workers that may take tasks
-	biggest []resource.Vector
-	use     map[string]resource.Vector
-	pressed map[int]float64 // worker index to summed cost of its tasks
-	plan    Decision
+	s             *Snapshot
+	rng           *rand.Rand
+	workers       []Worker
+	open          []int // indexes of workers that may take tasks
+	maximalTotals []resource.Vector
+	use           map[string]resource.Vector
+	pressures     map[int]float64 // summed cost of the tasks, by worker index
+	plan          Decision
 }
 
 func newPlanner(s *Snapshot) *planner {
 	p := &planner{s: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), workers: slices.Clone(s.Workers),
-		use: make(map[string]resource.Vector), pressed: make(map[int]float64)}
+		use: make(map[string]resource.Vector), pressures: make(map[int]float64)}
 	for i, w := range p.workers {
 		if w.Open {
 			p.open = append(p.open, i)
 		}
-		p.noteSize(w.Total)
+		p.recordTotal(w.Total)
 	}
 	return p
 }
 
-// noteSize keeps the totals that no other total contains, so that "can it ever
-// run" needs no look at every worker.
-func (p *planner) noteSize(total resource.Vector) {
-	for _, b := range p.biggest {
+// recordTotal keeps the totals that fit in no other total, so that neverFits needn't check every
+// worker.
+func (p *planner) recordTotal(total resource.Vector) {
+	for _, b := range p.maximalTotals {
 		if total.Fits(b) {
 			return
 		}
 	}
-	p.biggest = append(p.biggest, total)
+	p.maximalTotals = append(p.maximalTotals, total)
 }
 
 func (p *planner) placeAll() {
-	for _, t := range inOrder(p.s) {
+	for _, t := range byUrgency(p.s) {
 		if len(p.plan.Placements) >= p.s.MaxPlacements {
 			return
 		}
@@ -82,9 +83,9 @@
 	}
 }
 
-// inOrder sorts the waiting tasks: urgent, then by slack to the deadline, then
-// by age.
-func inOrder(s *Snapshot) []*lease.Task {
+// byUrgency returns the waiting tasks in order: urgent ones first, then by slack to the deadline,
+// then by age.
+func byUrgency(s *Snapshot) []*lease.Task {
 	type keyed struct {
 		task  *lease.Task
 		slack int64
@@ -112,12 +113,12 @@
 	return out
 }
 
-// noSlackBound stands for a task without a deadline.
-const noSlackBound = math.MaxInt64
+// noDeadlineSlack is the slack of a task without a deadline.
+const noDeadlineSlack = math.MaxInt64
 
 func slack(s *Snapshot, t *lease.Task) int64 {
 	if t.Deadline == 0 {
-		return noSlackBound
+		return noDeadlineSlack
 	}
 	return t.Deadline - s.Now - s.RunTime(t)
 }
@@ -128,30 +129,30 @@
 		return
 	}
 	if !p.withinQuota(t) {
-		return // its team waits; nobody behind it does
+		return // only this team waits; other teams' tasks are still placed
 	}
 	if i, ok := p.best(t); ok {
 		p.take(t, i)
 		return
 	}
 	if t.Urgent {
-		p.makeRoom(t)
+		p.preemptFor(t)
 	}
 }
 
-// setAside takes a task that can never run out of the queue, with the reason.
+// setAside removes a task that can never run from the queue and records the reason.
 func (p *planner) setAside(t *lease.Task) {
 	p.plan.SetAside = append(p.plan.SetAside, lease.SetAsideTask{Task: t.ID,
 		Reason: "no worker is large enough for it; declare less or add a larger worker"})
 }
 
 func (p *planner) neverFits(need resource.Vector) bool {
-	for _, b := range p.biggest {
+	for _, b := range p.maximalTotals {
 		if need.Fits(b) {
 			return false
 		}
 	}
-	return len(p.biggest) > 0
+	return len(p.maximalTotals) > 0
 }
 
 func (p *planner) teamUse(team string) resource.Vector {
@@ -168,7 +169,8 @@
 	return cpu && memory
 }
 
-// best compares a sample of the open workers and, if none will do, all of them.
+// best returns the best of a sample of the open workers or, if none of the sample is suitable,
+// the first suitable one of the rest.
 func (p *planner) best(t *lease.Task) (int, bool) {
 	n := len(p.open)
 	if n == 0 {
@@ -177,7 +179,7 @@
 	start := p.rng.IntN(n)
 	best, bestScore := -1, math.Inf(1)
 	for k := range n {
-		if k >= sampled && best >= 0 {
+		if k >= sampleSize && best >= 0 {
 			break
 		}
 		i := p.open[(start+k*stride(n))%n]
@@ -188,8 +190,8 @@
 	return best, best >= 0
 }
 
-// stride steps through n workers so that each is met once and neighbours in
-// the list, often of one rack, are not met together.
+// stride returns a step width through n workers that visits each once and doesn't visit
+// neighbours in the list, often on one rack, in succession.
 func stride(n int) int {
 	for _, s := range [...]int{127, 131, 137} {
 		if n%s != 0 {
@@ -199,7 +201,8 @@
 	return 1
 }
 
-// score returns how bad worker i is for the task, or false when it won't do.
+// score returns the score of worker i for the task, lower is better, or false if the worker is
+// unsuitable.
 func (p *planner) score(t *lease.Task, i int) (float64, bool) {
 	w := &p.workers[i]
 	if !t.Need.Fits(w.Free) || !p.withinShare(t, w) {
@@ -211,47 +214,48 @@
 	}
 	mean, upper := p.s.Costs.Cost(w.Service, t.Market, t.Job, w.Load)
 	pressure := p.pressure(i)
-	if pressure+p.judged(w, mean, upper) > p.bound(t, w) && !t.Urgent {
+	if pressure+p.boundedCost(w, mean, upper) > p.bound(t, w) && !t.Urgent {
 		return 0, false
 	}
 	return mean + pressure*pressureWeight + fill*packWeight, true
 }
 
-// Weights of the score's smaller parts against the task's own cost.
+// Weights of the score's smaller terms relative to the task's own cost.
 const (
 	packWeight     = 0.01
 	pressureWeight = 0.25
 )
 
-// judged is the cost used against the bound: the rarely exceeded one where the
-// preset does not let us explore.
-func (p *planner) judged(w *Worker, mean, upper float64) float64 {
+// boundedCost returns the cost that is compared with the bound: the expected one if the preset
+// allows exploration, otherwise one raised towards the rarely exceeded cost by the preset's tail
+// weight.
+func (p *planner) boundedCost(w *Worker, mean, upper float64) float64 {
 	if w.Preset.Explore {
 		return mean
 	}
 	return mean + w.Preset.TailWeight*(upper-mean)
 }
 
-// bound is how much logarithmic slowdown the preset allows on a worker. A task
-// that would else miss its deadline gets more, in the measure that the preset
-// weighs throughput.
+// bound returns the logarithmic slowdown that the preset allows on a worker. A task that would
+// otherwise miss its deadline is allowed more, in proportion to the preset's weight for
+// throughput.
 func (p *planner) bound(t *lease.Task, w *Worker) float64 {
 	bound := math.Log(w.Preset.MaxSlowdown)
 	run := p.s.RunTime(t)
 	left := slack(p.s, t)
-	if left == noSlackBound || float64(left) > hurryFactor*float64(run) {
+	if left == noDeadlineSlack || float64(left) > shortSlackFactor*float64(run) {
 		return bound * (2 - w.Preset.TailWeight)
 	}
 	return bound + math.Log(leeway(w.Preset))
 }
 
-// leeway is the factor by which a preset's bound may be passed for the sake of
-// batch work: by tasks short of time when they are placed, and by a worker's
-// slowdown before something is evicted. Both use the same one, else what was
-// placed in a hurry would be evicted at once, and placed again.
+// leeway is the factor by which a preset's bound may be exceeded for batch work: by tasks with
+// little slack when they are placed, and by a worker's slowdown before it is mitigated. Both use
+// the same factor, since otherwise tasks placed with little slack would be evicted immediately
+// and placed again.
 func leeway(p market.Preset) float64 { return 1 + (1-p.TailWeight)*maxLeeway }
 
-// maxLeeway is for a preset under which only throughput counts.
+// maxLeeway is added for a preset that weighs throughput only.
 const maxLeeway = 2.0
 
 func (p *planner) withinShare(t *lease.Task, w *Worker) bool {
@@ -262,23 +266,23 @@
 	return w.BatchUsed+t.Need.MilliCPU <= share
 }
 
-// pressure is the summed cost of the tasks already on a worker.
+// pressure returns the summed cost of the tasks on a worker, including those placed in this pass.
 func (p *planner) pressure(i int) float64 {
-	if c, ok := p.pressed[i]; ok {
+	if c, ok := p.pressures[i]; ok {
 		return c
 	}
 	w := &p.workers[i]
 	if w.Pressure < 0 {
 		w.Pressure = Pressure(p.s.Costs, w)
 	}
-	p.pressed[i] = w.Pressure
+	p.pressures[i] = w.Pressure
 	return w.Pressure
 }
 
-// throttledCost is the part of a task's cost that is left when it is throttled.
+// throttledCost is the part of a task's cost that remains when it is throttled.
 const throttledCost = 0.5
 
-// costOf returns what one running task is expected to cost.
+// costOf returns the expected cost of one running task.
 func costOf(costs Costs, w *Worker, r Running) float64 {
 	mean, _ := costs.Cost(w.Service, r.Market, r.Job, w.Load)
 	if r.Throttled {
@@ -287,7 +291,7 @@
 	return mean
 }
 
-// Pressure returns the summed cost of what runs on a worker.
+// Pressure returns the summed cost of the tasks running on a worker.
 func Pressure(costs Costs, w *Worker) float64 {
 	sum := 0.0
 	for _, r := range w.Running {
@@ -300,7 +304,7 @@
 	w := &p.workers[i]
 	if w.Service != "" {
 		mean, _ := p.s.Costs.Cost(w.Service, t.Market, t.Job, w.Load)
-		p.pressed[i] = p.pressure(i) + mean
+		p.pressures[i] = p.pressure(i) + mean
 	}
 	w.Free = w.Free.Sub(t.Need)
 	if t.Class == market.ClassBatch {
