--- a/quorum/calls.go
+++ b/quorum/calls.go
@@ -6,36 +6,35 @@
 	"time"
 )
 
-// View is a cheap copy of where a replica stands, for every request's use.
+// View is a copy of a replica's state that is cheap enough to read on every request.
 type View struct {
 	Role      Role
 	Term      uint64
-	Leader    Replica // zero when unknown
+	Leader    Replica // zero if unknown
 	InContact bool    // see Status
-	// Current says that the replica has applied all that was committed an election timeout
-	// ago, and as a leader all that was committed before it led.
+	// Current reports that the replica has applied everything that was committed one election
+	// timeout ago and, as a leader, everything that was committed before its term.
 	Current bool
-	Config  Config // the replica set; never changed in place
+	Config  Config // the configuration; never modified in place
 }
 
-func (v View) same(o View) bool {
+func (v View) equal(o View) bool {
 	return v.Role == o.Role && v.Term == o.Term && v.Leader == o.Leader && v.InContact == o.InContact && v.Current == o.Current &&
 		slices.Equal(v.Config.Voters, o.Config.Voters) && slices.Equal(v.Config.Learners, o.Config.Learners) &&
 		slices.Equal(v.Config.Old, o.Config.Old)
 }
 
-// View returns the newest view.
+// View returns the latest view.
 func (n *Node) View() View { return *n.view.Load() }
 
-// LeaderHeard returns how long ago the leader of the view was last heard, by a replica that
-// doesn't lead.
+// LeaderHeard returns the time since the last message from the leader of the view, at a replica
+// that does not lead.
 func (n *Node) LeaderHeard() time.Duration {
-	return time.Since(n.begun) - time.Duration(n.heard.Load())
+	return time.Since(n.startedAt) - time.Duration(n.leaderHeardAt.Load())
 }
 
-// Deliver hands over messages from another replica. It drops them when the replica
-// is overloaded, and reports whether it took them, so that their sender needn't wait
-// to find out.
+// Deliver queues messages from another replica. It drops them if the queue is full, and reports
+// whether it accepted them, so that the sender does not have to wait for a timeout.
 func (n *Node) Deliver(from Replica, msgs []Message) bool {
 	select {
 	case n.inbox <- delivery{from, msgs}:
@@ -45,8 +44,8 @@
 	}
 }
 
-// Unreachable tells that entries or a part of a snapshot sent to a replica may not
-// have arrived. It never blocks; what is missed here the core notices by itself.
+// Unreachable reports that entries or a part of a snapshot sent to a replica may have been lost.
+// It never blocks. Reports that are dropped are covered by the core's own resend timer.
 func (n *Node) Unreachable(id uint64) {
 	select {
 	case n.lost <- id:
@@ -54,34 +53,34 @@
 	}
 }
 
-// AnyTerm is the term of a proposal that was not decided by what one leadership knows.
+// AnyTerm is the term of a proposal that is valid in any leadership.
 const AnyTerm = 0
 
-// Propose commits a command and returns what the state machine made of it.
+// Propose commits a command and returns the state machine's result.
 func (n *Node) Propose(ctx context.Context, data []byte) (any, error) {
 	return n.ProposeIn(ctx, AnyTerm, data)
 }
 
-// ProposeIn commits a command in the leadership of one term only, else it returns ErrNotLeader.
-// What a leader knows without the log, such as a book of leases, is outdated once another has
-// led, also if the same replica leads again.
+// ProposeIn commits a command if this replica leads in the given term, otherwise it returns
+// ErrNotLeader. State that a leader keeps outside the log, such as a lease table, is outdated once
+// another replica has led, even if the same replica leads again.
 func (n *Node) ProposeIn(ctx context.Context, term uint64, data []byte) (any, error) {
 	if n.hasStopped() {
 		return nil, ErrStopped
 	}
-	p := proposal{data: data, onlyIn: term, at: time.Now(), done: make(chan outcome, 1)}
+	p := proposal{data: data, requiredTerm: term, submitted: time.Now(), done: make(chan outcome, 1)}
 	select {
 	case n.proposals <- p:
 	case <-ctx.Done():
-		return nil, ErrNotLeader // never handed over
+		return nil, ErrNotLeader // never queued
 	case <-n.stopped:
 		return nil, ErrStopped
 	}
 	return n.wait(ctx, p.done)
 }
 
-// hasStopped tells a certain "not taken" apart from "unknown": a stopped node's
-// queue may still have room, but nobody reads it.
+// hasStopped tells a proposal that was certainly not accepted from one with an unknown outcome: the
+// queue of a stopped node may still have space, but is no longer read.
 func (n *Node) hasStopped() bool {
 	select {
 	case <-n.stopped:
@@ -107,8 +106,8 @@
 	}
 }
 
-// Barrier returns once a majority has confirmed this leader and everything
-// committed before the call is applied.
+// Barrier returns once a majority has confirmed this leader and everything committed before the
+// call is applied.
 func (n *Node) Barrier(ctx context.Context) error {
 	done := make(chan outcome, 1)
 	select {
@@ -122,7 +121,7 @@
 	return err
 }
 
-// call runs f on the node's goroutine.
+// call runs f on the node's goroutine and waits for it.
 func (n *Node) call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
@@ -136,13 +135,13 @@
 	}
 }
 
-// Status returns the replica's view.
+// Status returns the core's status.
 func (n *Node) Status(ctx context.Context) (s Status, err error) {
 	err = n.call(ctx, func() { s = n.core.Status() })
 	return s, err
 }
 
-// Bootstrap makes this empty replica a cluster of one.
+// Bootstrap makes this empty replica the only voter of a new cluster. See Core.Bootstrap.
 func (n *Node) Bootstrap(ctx context.Context, self Replica) error {
 	var err error
 	if cerr := n.call(ctx, func() { err = n.core.Bootstrap(self) }); cerr != nil {
@@ -151,8 +150,7 @@
 	return err
 }
 
-// BootstrapSet gives this empty replica the replica set that all its members
-// start with. See Core.BootstrapSet.
+// BootstrapSet starts this empty replica with the first replica set. See Core.BootstrapSet.
 func (n *Node) BootstrapSet(ctx context.Context, set Config) error {
 	var err error
 	if cerr := n.call(ctx, func() { err = n.core.BootstrapSet(set) }); cerr != nil {
@@ -161,7 +159,7 @@
 	return err
 }
 
-// ChangeConfig proposes the next set of replicas, computed from the present one.
+// ChangeConfig proposes the configuration that next returns for the current one.
 func (n *Node) ChangeConfig(ctx context.Context, next func(Config) Config) error {
 	var err error
 	if cerr := n.call(ctx, func() { err = n.core.ProposeConfig(next(n.core.log.config().config)) }); cerr != nil {
@@ -170,7 +168,7 @@
 	return err
 }
 
-// Transfer starts handing the leadership to another voter.
+// Transfer starts a transfer of the leadership to another voter. See Core.Transfer.
 func (n *Node) Transfer(ctx context.Context, to uint64) error {
 	var err error
 	if cerr := n.call(ctx, func() { err = n.core.Transfer(to) }); cerr != nil {
--- a/quorum/config.go
+++ b/quorum/config.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// Config is the set of replicas that hold the log. Only voters count for a
-// majority; learners receive the log, and those that have caught up and are not needed
-// as voters are spares.
+// Config is the set of replicas that hold the log. Only voters count towards a majority. Learners
+// receive the log; a learner that has caught up and is not needed as a voter is a spare.
 //
-// While one voter is replaced by another the set is joint: Old holds the voters
-// from before, and whatever needs a majority needs one of Voters and one of Old.
+// While one voter is being replaced the configuration is joint: Old holds the previous voters,
+// and every decision needs a majority of Voters and a majority of Old.
 type Config struct {
 	Voters   []Replica `msgpack:"v" json:"voters"`
 	Learners []Replica `msgpack:"l" json:"learners"`
@@ -27,7 +26,7 @@
 	return Replica{}, false
 }
 
-// Find returns the voter or learner with this identity.
+// Find returns the voter, learner or old voter with the given ID.
 func (c Config) Find(id uint64) (Replica, bool) {
 	for _, list := range [][]Replica{c.Voters, c.Learners, c.Old} {
 		if r, ok := find(list, id); ok {
@@ -37,7 +36,7 @@
 	return Replica{}, false
 }
 
-// IsVoter reports whether id counts for a majority.
+// IsVoter reports whether id is a voter or, in a joint configuration, an old voter.
 func (c Config) IsVoter(id uint64) bool {
 	_, ok := find(c.Voters, id)
 	if !ok {
@@ -46,10 +45,10 @@
 	return ok
 }
 
-// Joint reports whether a voter is being replaced.
+// Joint reports whether the configuration is joint, that is, a voter is being replaced.
 func (c Config) Joint() bool { return len(c.Old) > 0 }
 
-// Members returns everybody who receives the log, each once.
+// Members returns all replicas that receive the log, without duplicates.
 func (c Config) Members() []Replica {
 	out := make([]Replica, 0, len(c.Voters)+len(c.Learners)+1)
 	for _, list := range [][]Replica{c.Voters, c.Learners, c.Old} {
@@ -62,23 +61,23 @@
 	return out
 }
 
-// majority reports whether more than half of the voters satisfy ok, in a joint set
-// more than half of the new ones and more than half of the old ones.
+// majority reports whether more than half of the voters satisfy ok; in a joint configuration,
+// more than half of the new voters and more than half of the old ones.
 func (c Config) majority(ok func(id uint64) bool) bool {
-	return spare(c.Voters, ok) >= 0 && (!c.Joint() || spare(c.Old, ok) >= 0)
+	return majorityMargin(c.Voters, ok) >= 0 && (!c.Joint() || majorityMargin(c.Old, ok) >= 0)
 }
 
-// Spare returns how many of the voters that satisfy ok may be lost before the set
-// has no majority. It is negative when there is none now.
-func (c Config) Spare(ok func(id uint64) bool) int {
-	n := spare(c.Voters, ok)
+// MajorityMargin returns how many of the voters that satisfy ok may be lost before the
+// configuration has no majority. It is negative if there is no majority now.
+func (c Config) MajorityMargin(ok func(id uint64) bool) int {
+	n := majorityMargin(c.Voters, ok)
 	if c.Joint() {
-		n = min(n, spare(c.Old, ok))
+		n = min(n, majorityMargin(c.Old, ok))
 	}
 	return n
 }
 
-func spare(voters []Replica, ok func(id uint64) bool) int {
+func majorityMargin(voters []Replica, ok func(id uint64) bool) int {
 	n := 0
 	for _, r := range voters {
 		if ok(r.ID) {
@@ -98,14 +97,14 @@
 	return out
 }
 
-// WithLearner returns the configuration with r added as a learner.
+// WithLearner returns the configuration with r as a learner.
 func (c Config) WithLearner(r Replica) Config {
 	out := c.clone()
 	out.Learners = append(without(out.Learners, r.ID), r)
 	return out
 }
 
-// WithVoter returns the configuration with the learner r made a voter.
+// WithVoter returns the configuration with the learner r promoted to a voter.
 func (c Config) WithVoter(r Replica) Config {
 	out := c.clone()
 	out.Learners = without(out.Learners, r.ID)
@@ -118,43 +117,43 @@
 	return Config{Voters: without(c.Voters, id), Learners: without(c.Learners, id), Old: c.Old}
 }
 
-// Demoting returns the configuration in which the voter id is a learner.
+// Demoting returns the configuration with the voter id demoted to a learner.
 func (c Config) Demoting(id uint64) Config {
 	r, _ := find(c.Voters, id)
 	return c.Without(id).WithLearner(r)
 }
 
-// Swapping returns the joint configuration in which the learner r takes the place of
-// the voter id, which stays a learner.
+// Swapping returns the joint configuration in which the learner r replaces the voter id, which
+// becomes a learner.
 func (c Config) Swapping(id uint64, r Replica) Config {
 	out := c.Demoting(id).WithVoter(r)
 	out.Old = slices.Clone(c.Voters)
 	return out
 }
 
-// Introduced returns the configuration with what is known of members of which it holds
-// an address only, and whether that is anything.
-func (c Config) Introduced(known func(id uint64) Replica) (Config, bool) {
-	out, news := c.clone(), false
+// WithDetails returns the configuration with the details of members whose data centre is not
+// recorded yet filled in, and whether any of them changed.
+func (c Config) WithDetails(details func(id uint64) Replica) (Config, bool) {
+	out, changed := c.clone(), false
 	for _, list := range [][]Replica{out.Voters, out.Learners} {
 		for i, r := range list {
-			if k := known(r.ID); r.DataCentre == "" && k.ID == r.ID && k.DataCentre != "" {
-				list[i], news = k, true
+			if k := details(r.ID); r.DataCentre == "" && k.ID == r.ID && k.DataCentre != "" {
+				list[i], changed = k, true
 			}
 		}
 	}
-	return out, news
+	return out, changed
 }
 
-// Replacing returns the joint configuration in which the learner r takes the place
-// of the voter id. Once it is committed the leader makes it Settled by itself.
+// Replacing returns the joint configuration in which the learner r replaces the voter id. Once it
+// is committed, the leader appends the Settled configuration by itself.
 func (c Config) Replacing(id uint64, r Replica) Config {
 	out := c.Without(id).WithVoter(r)
 	out.Old = slices.Clone(c.Voters)
 	return out
 }
 
-// Replaced returns the old voters that a joint set gives up.
+// Replaced returns the old voters that a joint configuration removes from the voters.
 func (c Config) Replaced() []Replica {
 	var out []Replica
 	for _, r := range c.Old {
@@ -165,14 +164,14 @@
 	return out
 }
 
-// Settled returns the configuration that follows a joint one.
+// Settled returns the configuration that ends a joint one.
 func (c Config) Settled() Config {
 	out := c.clone()
 	out.Old = nil
 	return out
 }
 
-// voterDiff counts the voters in which two configurations differ.
+// voterDiff counts the voters that are in only one of two configurations.
 func voterDiff(a, b Config) int {
 	n := 0
 	for _, r := range a.Voters {
@@ -188,12 +187,12 @@
 	return n
 }
 
-// replaceDiff is what two configurations differ in when one voter is replaced.
+// replaceDiff is the voterDiff of two configurations that differ by one replaced voter.
 const replaceDiff = 2
 
-// validStep reports whether a leader may append next after cur. One voter more or
-// less keeps every old majority and every new one overlapping. One voter in place
-// of another doesn't, so that step goes through a joint set.
+// validStep reports whether a leader may append next after cur. When one voter is added or
+// removed, every old majority overlaps with every new one. When one voter is replaced by another
+// they may not overlap, so that step must go through a joint configuration.
 func validStep(cur, next Config) bool {
 	sameOld := len(next.Old) == len(cur.Voters) && voterDiff(cur, Config{Voters: next.Old}) == 0
 	switch {
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -2,93 +2,92 @@
 
 import "math/rand"
 
-// Limits of the step machine. Ticks are the driver's unit of time.
+// Timing and size limits of the protocol. A tick is the driver's unit of time.
 const (
-	// HeartbeatTicks is the leader's interval between contacts.
+	// HeartbeatTicks is the interval between the leader's heartbeats.
 	HeartbeatTicks = 4
-	// ElectionTicks is the shortest silence after which a replica campaigns;
-	// the longest is twice that. A leader that hears no majority for this
-	// long steps down.
+	// ElectionTicks is the minimum election timeout; the maximum is twice that. A leader that
+	// receives no responses from a majority for this long steps down.
 	ElectionTicks = 16
 
-	// startTicks is the shortest silence after which a replica that has just
-	// started campaigns; the longest is twice that. A leader that is there is
-	// heard within HeartbeatTicks, and one that is not heard by this replica
-	// alone is safe through the pre-vote. After all replicas were killed at
-	// once callers wait half a second less.
-	startTicks = 6
-	// SilentTicks is the silence after which a voter may be replaced by a
-	// learner that has caught up: longer than an election and a restart, and
+	// initialElectionTicks is the minimum first election timeout after a start; the maximum is
+	// twice that. It may be shorter than ElectionTicks: a running leader is heard within
+	// HeartbeatTicks, and if only this replica cannot hear it, the pre-vote protects that leader.
+	// It saves callers half a second after all replicas were killed at the same time.
+	initialElectionTicks = 6
+	// UnresponsiveTicks is the time without a response or join request after which a voter may be
+	// replaced by a learner that has caught up. It is longer than an election and a restart, and
 	// short enough that a replacement votes within four seconds of its start.
-	SilentTicks = 40
-	// goneTicks is the silence after which a spare is forgotten: longer than a restart
-	// or a short cut, so that it isn't let in again and again.
-	goneTicks = 10 * SilentTicks
-
-	// maxAppendBytes bounds one append, and chunkBytes one part of a snapshot: 10 ms
-	// of a link of 200 Mbit/s, and still under half a second of one of 5 Mbit/s.
+	UnresponsiveTicks = 40
+	// learnerExpiryTicks is the time without a response or join request after which a learner is
+	// removed. It is longer than a restart or a short network cut, so that a learner is not
+	// removed and added again repeatedly.
+	learnerExpiryTicks = 10 * UnresponsiveTicks
+
+	// maxAppendBytes limits one append and chunkBytes one part of a snapshot. 256 KiB takes 10 ms
+	// on a link of 200 Mbit/s and less than half a second on one of 5 Mbit/s.
 	maxAppendBytes = 256 << 10
 	chunkBytes     = 256 << 10
 )
 
-// pendingRead waits until a majority has echoed its round.
+// pendingRead is a read that waits until a majority has echoed its heartbeat round.
 type pendingRead struct {
 	Read
 	round uint64
 }
 
-// Core is the replicated log's step machine. It is not safe for concurrent use.
+// Core is the protocol state machine of one replica. It is not safe for concurrent use.
 type Core struct {
-	id      uint64
-	rng     *rand.Rand
-	log     *memLog
-	role    Role
-	term    uint64
-	vote    uint64
-	leader  uint64
-	now     uint64 // ticks since the start
-	silence uint64 // ticks since the last contact with a leader
-	timeout uint64 // silence after which to campaign
-
-	votes     map[uint64]bool
-	peers     map[uint64]*progress
-	round     uint64
-	persisted uint64
-	reads     []pendingRead
-	held      bool   // nothing is handed out to be applied: the state is being encoded
-	transfer  uint64 // replica being handed the leadership, 0 for none
-	transferT uint64 // tick at which the hand-over began
-	// awaited is how far the leader said that the log is committed, until that is applied
-	// here, and currentAt the tick of the last such word that was.
-	awaited   position
-	currentAt uint64
-	partial   *Snapshot
-	partSize  int
-	chunk     int // bytes of one part of a snapshot
-
-	saved    HardState
-	snapshot *Snapshot
-	early    []Message
-	messages []Message
-	done     []Read
+	id              uint64
+	rng             *rand.Rand
+	log             *memLog
+	role            Role
+	term            uint64
+	vote            uint64
+	leader          uint64
+	now             uint64 // ticks since the start
+	electionElapsed uint64 // ticks since the last message from a leader
+	electionTimeout uint64 // value of electionElapsed at which to campaign
+
+	votes         map[uint64]bool
+	peers         map[uint64]*progress
+	round         uint64
+	persisted     uint64
+	reads         []pendingRead
+	applyPaused   bool   // committed entries are withheld while the state is being encoded
+	transfer      uint64 // target of a leadership transfer, 0 for none
+	transferStart uint64 // tick at which the transfer began
+	// awaitedCommit is a commit index announced by the leader that is not yet applied here.
+	// currentAsOf is the tick of the latest announcement that has been applied.
+	awaitedCommit indexAtTick
+	currentAsOf   uint64
+	partial       *Snapshot
+	partialSize   int
+	chunkSize     int // maximum bytes of one part of a snapshot
+
+	saved          HardState
+	snapshot       *Snapshot
+	early          []Message
+	messages       []Message
+	confirmedReads []Read
 }
 
-// position is an index of the log at a tick.
-type position struct{ index, tick uint64 }
+// indexAtTick is a log index announced at a tick.
+type indexAtTick struct{ index, tick uint64 }
 
-// NewCore returns a core that starts from what its disk holds. The generator
-// only spreads election timeouts.
+// NewCore returns a core that starts from the state read from disk. rng randomises the election
+// timeouts only.
 func NewCore(id uint64, hs HardState, snap Snapshot, entries []Entry, rng *rand.Rand) *Core {
-	c := &Core{id: id, rng: rng, term: hs.Term, vote: hs.Vote, saved: hs, chunk: chunkBytes}
+	c := &Core{id: id, rng: rng, term: hs.Term, vote: hs.Vote, saved: hs, chunkSize: chunkBytes}
 	c.log = newMemLog(snap, entries, hs.Commit)
 	c.persisted = c.log.last()
 	c.resetTimeout()
-	c.timeout = startTicks + uint64(rng.Intn(startTicks))
+	c.electionTimeout = initialElectionTicks + uint64(rng.Intn(initialElectionTicks))
 	return c
 }
 
-// Bootstrap turns an empty replica into a cluster of one. The others join it
-// as learners. It must be called once in the life of a cluster.
+// Bootstrap makes an empty replica the only voter of a new cluster. The others join as learners.
+// It must be called at most once per cluster.
 func (c *Core) Bootstrap(self Replica) error {
 	if c.log.last() != 0 || c.term != 0 {
 		return Error.New("this replica already belongs to a cluster; do not initialise it again")
@@ -99,11 +98,10 @@
 	return nil
 }
 
-// BootstrapSet starts an empty replica with the set of voters that every member
-// of the set starts with. All begin with the same first entry, so whichever
-// majority elects a leader holds it, and nothing is ever committed on fewer than
-// a majority of the set. It must be called only at the very first start: a
-// replica that lost its disk has forgotten its votes and must join instead.
+// BootstrapSet starts an empty replica with the first set of voters, the same at every member.
+// All members start with the same first entry, so every majority that elects a leader holds it,
+// and nothing is committed on fewer than a majority of the set. It must be called only at the very
+// first start: a replica that lost its disk has lost its votes and must join instead.
 func (c *Core) BootstrapSet(set Config) error {
 	if c.log.last() != 0 || c.term != 0 {
 		return Error.New("this replica already holds a log; start it without forming a set")
@@ -116,28 +114,28 @@
 	return nil
 }
 
-// Status is a view of the core for operators and tests.
+// Status is a copy of the core's state for operators and tests.
 type Status struct {
 	ID, Term, Leader, Commit, Applied, Last uint64
 	Role                                    Role
 	Config                                  Config
-	// Match is, at a leader, how far the replicas that answered lately have
-	// the log on their disks.
+	// Match holds, at a leader, the highest index known to be on the disk of each replica that
+	// responded within ElectionTicks.
 	Match map[uint64]uint64
-	// Silent lists, at a leader, the voters that have neither answered nor asked
-	// to be let in for SilentTicks.
-	Silent []uint64
-	// Gone lists, at a leader, the learners that have done neither for goneTicks.
-	Gone []uint64
-	// InContact tells whether the replica heard from a majority's leader
-	// within the election timeout. What it has applied is stale otherwise.
+	// Unresponsive lists, at a leader, the voters that have sent neither a response nor a join
+	// request for UnresponsiveTicks.
+	Unresponsive []uint64
+	// ExpiredLearners lists, at a leader, the learners that have sent neither for learnerExpiryTicks.
+	ExpiredLearners []uint64
+	// InContact reports whether the replica leads or has received a message from the leader
+	// within ElectionTicks. Otherwise its applied state may be stale.
 	InContact bool
 }
 
-// Status returns the current view.
+// Status returns a copy of the core's state.
 func (c *Core) Status() Status {
 	s := Status{ID: c.id, Term: c.term, Leader: c.leader, Commit: c.log.committed, Applied: c.log.applied,
-		Last: c.log.last(), Role: c.role, Config: c.log.config().config, InContact: c.leaderFresh()}
+		Last: c.log.last(), Role: c.role, Config: c.log.config().config, InContact: c.hasRecentLeader()}
 	if c.role == Leader {
 		s.Match = make(map[uint64]uint64, len(c.peers))
 		for id, p := range c.peers {
@@ -146,79 +144,81 @@
 			}
 		}
 		for _, v := range s.Config.Voters {
-			if v.ID != c.id && c.silent(c.peers[v.ID], SilentTicks) {
-				s.Silent = append(s.Silent, v.ID)
+			if v.ID != c.id && c.unresponsive(c.peers[v.ID], UnresponsiveTicks) {
+				s.Unresponsive = append(s.Unresponsive, v.ID)
 			}
 		}
 		for _, l := range s.Config.Learners {
-			if l.ID != c.id && c.silent(c.peers[l.ID], goneTicks) {
-				s.Gone = append(s.Gone, l.ID)
+			if l.ID != c.id && c.unresponsive(c.peers[l.ID], learnerExpiryTicks) {
+				s.ExpiredLearners = append(s.ExpiredLearners, l.ID)
 			}
 		}
 	}
 	return s
 }
 
-// answers reports, at a leader, whether a replica has answered lately.
-func (c *Core) answers(id uint64) bool {
+// recentlyActive reports, at a leader, whether a replica has responded within ElectionTicks.
+func (c *Core) recentlyActive(id uint64) bool {
 	p := c.peers[id]
 	return id == c.id || (p != nil && p.lastContact+ElectionTicks >= c.now)
 }
 
-// silent reports whether a replica has neither answered nor asked to be let in for so
-// many ticks. A voter that asks is alive, whatever keeps it from answering: taken out,
-// the set would stand one loss less, and its copy of the log would count for nothing.
-func (c *Core) silent(p *progress, ticks uint64) bool {
-	return p.lastContact+ticks < c.now && p.asked+ticks < c.now
+// unresponsive reports whether a replica has sent neither a response nor a join request for the
+// given number of ticks. A voter that sends join requests is alive, whatever keeps it from
+// responding: removing it would lower the number of tolerated losses by one, and its copy of the
+// log would no longer count.
+func (c *Core) unresponsive(p *progress, ticks uint64) bool {
+	return p.lastContact+ticks < c.now && p.lastJoinRequest+ticks < c.now
 }
 
-// Asked notes, at a leader, that a replica of the set asks to be let in: it hears no
-// leader, but it is alive.
-func (c *Core) Asked(id uint64) {
+// RecordJoinRequest records, at a leader, that a member sent a join request: it receives no
+// messages from the leader, but it is alive.
+func (c *Core) RecordJoinRequest(id uint64) {
 	if p := c.peers[id]; c.role == Leader && p != nil {
-		p.asked = c.now
+		p.lastJoinRequest = c.now
 	}
 }
 
-// Tick advances time by one unit.
+// Tick advances the core's time by one tick.
 func (c *Core) Tick() {
 	c.now++
 	if c.role == Leader {
 		c.tickLeader()
 		return
 	}
-	c.silence++
-	if c.silence >= c.timeout && c.log.config().config.IsVoter(c.id) {
+	c.electionElapsed++
+	if c.electionElapsed >= c.electionTimeout && c.log.config().config.IsVoter(c.id) {
 		c.campaign(true)
 	}
 }
 
 func (c *Core) tickLeader() {
-	if !c.log.config().config.majority(c.answers) {
-		// Cut off from the majority: another leader may be elected soon.
-		// Symptom without this: two leaders, one of which accepts changes
-		// that are never committed. Stepping down within one election
-		// timeout bounds how long anybody can take this one for current.
+	if !c.log.config().config.majority(c.recentlyActive) {
+		// The leader has lost contact with the majority, and another may be elected soon. Without
+		// this check there are two leaders, one of which accepts changes that are never committed.
+		// Stepping down within one election timeout limits how long callers can take this one for
+		// the current leader.
 		c.becomeFollower(c.term, 0)
 		return
 	}
-	if c.transfer != 0 && c.now-c.transferT > ElectionTicks {
+	if c.transfer != 0 && c.now-c.transferStart > ElectionTicks {
 		c.transfer = 0
 	}
 	if c.now%HeartbeatTicks == 0 {
 		c.resendLost()
-		c.broadcast(everybody)
+		c.broadcast(heartbeatAll)
 	}
 }
 
-// leaderFresh reports whether a leader was heard within the shortest timeout.
-func (c *Core) leaderFresh() bool {
-	return c.role == Leader || (c.leader != 0 && c.silence < ElectionTicks)
+// hasRecentLeader reports whether this replica leads or has received a message from the leader
+// within the minimum election timeout.
+func (c *Core) hasRecentLeader() bool {
+	return c.role == Leader || (c.leader != 0 && c.electionElapsed < ElectionTicks)
 }
 
 func (c *Core) resetTimeout() {
-	c.silence = 0
-	c.timeout = ElectionTicks + uint64(c.rng.Intn(ElectionTicks))
+	c.electionElapsed = 0
+	c.electionTimeout = ElectionTicks + uint64(c.rng.Intn(ElectionTicks))
 }
 
 func (c *Core) becomeFollower(term, leader uint64) {
@@ -227,12 +227,12 @@
 	}
 	c.role, c.leader = Follower, leader
 	c.peers, c.votes, c.reads, c.transfer = nil, nil, nil, 0
-	c.awaited, c.currentAt = position{}, 0
+	c.awaitedCommit, c.currentAsOf = indexAtTick{}, 0
 	c.resetTimeout()
 }
 
-// Propose appends a command and returns its place. It is committed when an
-// entry with the same index and term is handed out in Ready.Committed.
+// Propose appends a command and returns its index and term. The command is committed once an
+// entry with the same index and term appears in Ready.Committed.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader {
 		return 0, 0, ErrNotLeader
@@ -244,9 +244,9 @@
 	return index, c.term, nil
 }
 
-// ProposeConfig appends a new set of replicas, one step from the present one (see
-// validStep). An earlier step must be committed first, and so must an entry of this
-// term, else two leaders could each commit under sets that do not overlap.
+// ProposeConfig appends a new configuration that is one step from the current one (see validStep).
+// It returns ErrBusy until the previous configuration and an entry of this term are committed;
+// otherwise two leaders could commit under configurations whose majorities do not overlap.
 func (c *Core) ProposeConfig(next Config) error {
 	if c.role != Leader {
 		return ErrNotLeader
@@ -260,7 +260,7 @@
 	}
 	c.appendOwn(EntryConfig, encodeConfig(next))
 	c.syncPeers()
-	c.broadcast(nobody)
+	c.broadcast(noHeartbeat)
 	return nil
 }
 
@@ -270,10 +270,10 @@
 	return e.Index
 }
 
-// Persisted tells the core that its own disk holds the log up to index.
+// Persisted reports that this replica's disk holds the log up to index.
 func (c *Core) Persisted(index, term uint64) {
 	if t, ok := c.log.term(index); !ok || t != term {
-		return // overwritten since
+		return // replaced in the meantime
 	}
 	c.persisted = max(c.persisted, index)
 	if c.role == Leader {
@@ -281,15 +281,15 @@
 	}
 }
 
-// Read asks for a majority-confirmed read. It is answered in Ready.Reads, or
-// dropped when the leadership ends first.
+// Read requests a read that is confirmed by a majority. It is returned in Ready.Reads, or dropped
+// if the leadership ends first.
 func (c *Core) Read(id uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	// Before an entry of its own term is committed a leader does not know
-	// how far the log is committed. The no-op's index is past anything an
-	// earlier leader acknowledged.
+	// A leader does not know the cluster's commit index before an entry of its own term is
+	// committed. The index of its no-op is higher than any index that an earlier leader
+	// acknowledged.
 	index := c.log.committed
 	if t, _ := c.log.term(index); t != c.term {
 		index = c.log.last()
@@ -298,12 +298,13 @@
 	return nil
 }
 
-// Transfer hands the leadership to another voter that has caught up.
+// Transfer starts a transfer of the leadership to another voter. It completes once that voter has
+// the whole log.
 func (c *Core) Transfer(to uint64) error {
 	if c.role != Leader || !c.log.config().config.IsVoter(to) || to == c.id {
 		return ErrNotLeader
 	}
-	c.transfer, c.transferT = to, c.now
+	c.transfer, c.transferStart = to, c.now
 	c.maybeTransfer(to)
 	return nil
 }
@@ -314,33 +315,33 @@
 	}
 }
 
-// Compact replaces the log up to s.Index, which must have been applied.
+// Compact replaces the log up to s.Index, which must be applied, with the snapshot s.
 func (c *Core) Compact(s Snapshot) { c.log.compact(s, c.neededFrom()) }
 
-// SnapshotAt returns the header of a snapshot at an applied index.
+// SnapshotAt returns a snapshot without data at an applied index.
 func (c *Core) SnapshotAt(index uint64) Snapshot {
 	t, _ := c.log.term(index)
 	return Snapshot{Index: index, Term: t, Config: c.log.configUpTo(index)}
 }
 
-// Ready returns what is to be done and forgets it.
+// Ready returns the driver's next work. Each item is returned once.
 func (c *Core) Ready() Ready {
 	if c.role == Leader {
 		c.flushLeader()
 	}
-	rd := Ready{Snapshot: c.snapshot, Early: c.early, Messages: c.messages, Reads: c.done}
-	c.snapshot, c.early, c.messages, c.done = nil, nil, nil, nil
+	rd := Ready{Snapshot: c.snapshot, Early: c.early, Messages: c.messages, Reads: c.confirmedReads}
+	c.snapshot, c.early, c.messages, c.confirmedReads = nil, nil, nil, nil
 	if c.term != c.saved.Term {
-		// A lone voter wins without anybody's vote, so its term may not be on
-		// disk yet. Sent early and then forgotten in a crash, the same term
-		// would be led twice, with different entries.
+		// A single voter wins its election without receiving votes, so its term may not be on disk
+		// yet. If messages were sent before the sync and the term then lost in a crash, the same
+		// term would be led twice, with different entries.
 		rd.Messages, rd.Early = append(rd.Early, rd.Messages...), nil
 	}
-	if c.log.handed < c.log.last() {
-		rd.Entries = c.log.slice(c.log.handed+1, int(^uint(0)>>1))
-		c.log.handed = c.log.last()
+	if c.log.handedOut < c.log.last() {
+		rd.Entries = c.log.slice(c.log.handedOut+1, int(^uint(0)>>1))
+		c.log.handedOut = c.log.last()
 	}
-	if c.log.applied < c.log.committed && !c.held {
+	if c.log.applied < c.log.committed && !c.applyPaused {
 		lo := c.log.applied - c.log.base
 		rd.Committed = c.log.entries[lo : c.log.committed-c.log.base]
 		c.log.applied = c.log.committed
@@ -352,14 +353,14 @@
 	return rd
 }
 
-// flushLeader sends what was proposed or asked since the last Ready in one round.
+// flushLeader sends what was proposed or requested since the last Ready in one heartbeat round.
 func (c *Core) flushLeader() {
-	to := nobody
+	to := noHeartbeat
 	for _, r := range c.reads {
 		if r.round > c.round {
-			to = voters
+			to = heartbeatVoters
 		}
 	}
 	c.broadcast(to)
-	c.answerReads()
+	c.confirmReads()
 }
--- a/quorum/current_test.go
+++ b/quorum/current_test.go
@@ -5,38 +5,38 @@
 	"testing"
 )
 
-// A replica that comes back hears the leader at once and lacks seconds of the log. Answering
-// from its own copy meanwhile, it would tell agents what was in force long ago.
+// A returning replica receives heartbeats immediately but lacks seconds of the log. If it counted as
+// current, agents would get outdated answers from its state.
 func TestReplicaThatCatchesUpIsNotCurrent(t *testing.T) {
-	l, leader := behind(t, 1500, 1000, true)
-	begun := leader.core.log.committed
+	l, leader := startBehind(t, 1500, 1000, true)
+	target := leader.core.log.committed
 	for range 400 {
 		l.tick()
-		if l.to.core.current() && l.to.core.log.applied < begun {
-			t.Fatalf("current with %d of %d entries", l.to.core.log.applied, begun)
+		if l.to.core.current() && l.to.core.log.applied < target {
+			t.Fatalf("current with %d of %d entries", l.to.core.log.applied, target)
 		}
 	}
-	if !l.to.core.current() || !l.to.core.leaderFresh() {
+	if !l.to.core.current() || !l.to.core.hasRecentLeader() {
 		t.Fatal("not current though it has caught up")
 	}
 }
 
-// A replica that is cut off knows within an election timeout that it may be outdated.
-func TestReplicaThatHearsNobodyIsNotCurrent(t *testing.T) {
-	w, leader := settled(t, 5)
-	cut := w.others(leader)[0]
-	if !cut.core.current() {
-		t.Fatal("not current in a group at rest")
+// A replica that is cut off must know within an election timeout that its state may be outdated.
+func TestIsolatedReplicaIsNotCurrent(t *testing.T) {
+	w, leader := settledNetwork(t, 5)
+	isolated := w.others(leader)[0]
+	if !isolated.core.current() {
+		t.Fatal("a follower of an idle group is not current")
 	}
-	w.isolate(cut)
+	w.isolate(isolated)
 	w.settle(ElectionTicks + HeartbeatTicks + 1)
-	if cut.core.current() {
-		t.Error("current without a word for an election timeout")
+	if isolated.core.current() {
+		t.Error("still current an election timeout after the last heartbeat")
 	}
 }
 
-// Under load the leader has always committed more than a follower has applied. The follower is
-// current all the same: what it lacks is younger than an election timeout.
+// Under load the leader has always committed more than a follower has applied. The follower is still
+// current: what it lacks was committed less than an election timeout ago.
 func TestReplicaIsCurrentUnderLoad(t *testing.T) {
 	const behind, ticks = ElectionTicks / 4, 10 * ElectionTicks
 	set := Config{Voters: voterSet(1, 2, 3)}
@@ -56,21 +56,21 @@
 	}
 }
 
-// A new leader doesn't know how far the one before it had come until an entry of its own is
-// committed. A follower that lacks the rest must not pass for current by its word.
-func TestNewLeaderSaysNothingOfWhatItDoesNotKnow(t *testing.T) {
-	_, leader := settled(t, 3)
-	if leader.core.everCommitted() == 0 {
-		t.Fatal("nothing is known at rest")
+// A new leader does not know the previous leader's commit index until an entry of its own is
+// committed. A follower that lacks the rest must not become current by the new leader's heartbeats.
+func TestNewLeaderReportsNoCommitIndexBeforeItsFirstCommit(t *testing.T) {
+	_, leader := settledNetwork(t, 3)
+	if leader.core.clusterCommit() == 0 {
+		t.Fatal("the commit index is unknown in an idle group")
 	}
 	leader.core.term++ // as after an election, before its first commit
-	if n := leader.core.everCommitted(); n != 0 {
-		t.Errorf("tells %d", n)
+	if n := leader.core.clusterCommit(); n != 0 {
+		t.Errorf("reported commit index %d before the first commit", n)
 	}
 }
 
-// Guards against decisions and answers on a state of long ago: a replica that has just been elected,
-// after all power was lost, has applied none of what was committed before.
+// Guards against decisions and answers based on an outdated state: a replica elected right after a
+// loss of all power has applied none of the previously committed entries.
 func TestNewLeaderIsCurrentOnlyOnceItHasAppliedWhatWasCommittedBefore(t *testing.T) {
 	var log []Entry
 	for i := range uint64(10) {
@@ -89,7 +89,7 @@
 			}
 		}
 		if c.now > 100*ElectionTicks {
-			t.Fatal("it is never elected")
+			t.Fatal("the replica was not elected")
 		}
 	}
 	if c.current() {
--- a/quorum/disk.go
+++ b/quorum/disk.go
@@ -17,24 +17,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Files in a data folder. Each holds checksummed records; a file under its
-// final name is complete up to its last sync.
+// Names and limits of the files in a data folder. Each file holds checksummed records. A file
+// under its final name is complete up to its last sync.
 const (
 	identityFile = "identity"
 	walPrefix    = "wal-"
 	snapPrefix   = "snapshot-"
 	tempSuffix   = ".tmp"
 
-	headerBytes = 8       // length and checksum
-	maxRecord   = 1 << 30 // bytes; a longer length is damage
-	// MinFreeBytes is the room on the disk below which proposals are refused.
+	headerBytes = 8       // record length and checksum
+	maxRecord   = 1 << 30 // bytes; a larger length is treated as damage
+	// MinFreeBytes is the free disk space in bytes below which proposals are refused.
 	MinFreeBytes = 64 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// record is what the write-ahead log holds. A later record's entries replace
-// those of an earlier one from their first index on.
+// record is one record of the write-ahead log. Its entries replace those of earlier records from
+// its first index on.
 type record struct {
 	Hard    *HardState `msgpack:"h,omitempty"`
 	Entries []Entry    `msgpack:"e,omitempty"`
@@ -48,36 +48,36 @@
 	gen   uint64
 	size  int64
 	state Stored
-	// firstID is the identity of an empty folder, 0 to draw one.
-	firstID uint64
-	// write is replaced by tests that need a disk without room.
+	// initialID is the identity that an empty folder gets, 0 for a random one.
+	initialID uint64
+	// write is replaced by tests that simulate a full disk.
 	write func(*os.File, []byte) (int, error)
 }
 
-// Stored is what a data folder held when it was opened.
+// Stored is the content of a data folder at the time it was opened.
 type Stored struct {
 	ID       uint64
 	Hard     HardState
 	Snapshot Snapshot
 	Entries  []Entry
-	// Cut counts the bytes of a torn tail that were dropped.
+	// Cut is the length of an incomplete tail of the log that was truncated.
 	Cut int64
 }
 
-// OpenDisk opens or makes a data folder. An empty folder gets a new identity.
+// OpenDisk opens a data folder, creating it if needed. An empty folder gets a random identity.
 //
-// It returns an error that names the file and the remedy when synced data is
-// damaged: going on with a part of it could undo accepted changes.
+// It returns an error that names the file and the remedy if synced data is damaged: continuing
+// with a part of it could undo acknowledged changes.
 func OpenDisk(dir string) (*Disk, error) { return OpenDiskAs(dir, 0) }
 
-// OpenDiskAs opens a data folder like OpenDisk, and gives an empty one the
-// identity id, unless that is 0. It is for the members of a first replica set,
-// who must know each other's identities before they ever spoke.
+// OpenDiskAs opens a data folder like OpenDisk, but gives an empty one the identity id unless
+// that is 0. It is for the members of a first replica set, which must know each other's
+// identities before they communicate.
 func OpenDiskAs(dir string, id uint64) (*Disk, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	d := &Disk{dir: dir, firstID: id, write: (*os.File).Write}
+	d := &Disk{dir: dir, initialID: id, write: (*os.File).Write}
 	if err := d.takeLock(); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	return d, nil
 }
 
-// Stored returns what the folder held when it was opened.
+// Stored returns the content of the folder at the time it was opened.
 func (d *Disk) Stored() Stored { return d.state }
 
 func (d *Disk) takeLock() error {
@@ -118,7 +118,7 @@
 func (d *Disk) removeTemporary() {
 	names, _ := filepath.Glob(filepath.Join(d.dir, "*"+tempSuffix))
 	for _, n := range names {
-		os.Remove(n) // never renamed, so never relied on
+		os.Remove(n) // was never renamed, so nothing depends on it
 	}
 }
 
@@ -139,18 +139,18 @@
 	return nil
 }
 
-// makeIdentity draws a new identity, but only for a folder without a log: a
-// log whose identity file was deleted must not come back as somebody else.
+// makeIdentity creates the identity of a folder without a log. A log whose identity file was
+// deleted must not rejoin under another identity.
 func (d *Disk) makeIdentity() error {
 	if names := d.list(walPrefix); len(names) > 0 {
 		return Error.New("data folder %s has a log but no identity file; restore the file or empty the folder to rejoin as a new replica", d.dir)
 	}
-	d.state.ID = d.firstID
+	d.state.ID = d.initialID
 	if d.state.ID == 0 {
 		d.state.ID = rand.Uint64() | 1
 	}
 	payload := binary.LittleEndian.AppendUint64(nil, d.state.ID)
-	return d.writeWhole(identityFile, payload)
+	return d.writeAtomic(identityFile, payload)
 }
 
 func (d *Disk) list(prefix string) []string {
@@ -204,11 +204,11 @@
 		f.Close()
 		return err
 	}
-	return d.adopt(f, good, int64(len(b)))
+	return d.resumeWAL(f, good, int64(len(b)))
 }
 
-// adopt continues a log file after its last good record.
-func (d *Disk) adopt(f *os.File, good, size int64) error {
+// resumeWAL truncates a log file after its last valid record and continues to write there.
+func (d *Disk) resumeWAL(f *os.File, good, size int64) error {
 	d.state.Cut = size - good
 	if err := f.Truncate(good); err != nil {
 		return Error.Wrap(err)
@@ -223,10 +223,10 @@
 	return nil
 }
 
-// replay reads records until the end or a bad one. A bad record with a good one
-// behind it is damage to synced data: the later one was written only after
-// the earlier was synced. A bad record at the end is a write cut short by a
-// crash, which nobody was told about.
+// replay reads records up to the end or the first invalid one. An invalid record followed by a
+// valid one is damage to synced data, because a record is only written after the previous one was
+// synced. An invalid record at the end is a write that a crash interrupted before it was
+// acknowledged to any other process.
 func (d *Disk) replay(path string, b []byte) (good int64, err error) {
 	for off := 0; off < len(b); {
 		payload, n := parseRecord(b[off:])
@@ -269,8 +269,8 @@
 	return Error.New("%s is damaged at byte %d before its end; empty the data folder, and the replica rejoins with a new identity", path, off)
 }
 
-// parseRecord returns the payload at the start of b and the bytes it takes, or
-// 0 when there is no whole and sound record.
+// parseRecord returns the payload of the record at the start of b and the record's length, or
+// length 0 if there is no complete record with a valid checksum.
 func parseRecord(b []byte) (payload []byte, n int) {
 	if len(b) < headerBytes {
 		return nil, 0
@@ -292,7 +292,7 @@
 	return append(b, payload...)
 }
 
-// laterRecord reports whether a sound record starts anywhere in b.
+// laterRecord reports whether a valid record starts at any offset in b.
 func laterRecord(b []byte) bool {
 	for i := range b {
 		if payload, n := parseRecord(b[i:]); n > 0 {
@@ -305,11 +305,11 @@
 	return false
 }
 
-// Save appends what a Ready asks for and syncs it.
+// Save appends the hard state and the entries of a Ready to the log and syncs it.
 //
-// ErrDiskFull means that nothing was saved and that it may be tried again. Any
-// other error is fatal to the replica: after a failed sync the kernel may have
-// dropped the pages and report success the next time, so it is never retried.
+// ErrDiskFull means that nothing was saved and that the call may be retried. Any other error is
+// fatal to the replica and must not be retried: after a failed sync the kernel may have dropped
+// the pages and report success the next time.
 func (d *Disk) Save(hs *HardState, entries []Entry) error {
 	if hs == nil && len(entries) == 0 {
 		return nil
@@ -319,8 +319,8 @@
 		return err
 	}
 	if _, err := d.write(d.wal, b); errors.Is(err, unix.ENOSPC) {
-		// A part may have been written. Nobody was told of it, and what comes
-		// next must not follow a torn record.
+		// A part may have been written. It was not acknowledged, and the next record must not
+		// follow an incomplete one.
 		if terr := d.wal.Truncate(d.size); terr != nil {
 			return Error.Wrap(terr)
 		}
@@ -344,14 +344,14 @@
 	return appendRecord(nil, payload), nil
 }
 
-// SaveSnapshot makes s durable and starts a new log file that holds only the
-// entries after it. The snapshot is in place before the old log goes.
+// SaveSnapshot makes s durable and starts a new log file that holds only the entries after it. The
+// old log is removed only after the snapshot is in place.
 func (d *Disk) SaveSnapshot(s Snapshot, hs HardState, after []Entry) error {
 	payload, err := msgpack.Marshal(&s)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	if err := d.writeWhole(fmt.Sprintf("%s%016x", snapPrefix, s.Index), payload); err != nil {
+	if err := d.writeAtomic(fmt.Sprintf("%s%016x", snapPrefix, s.Index), payload); err != nil {
 		return err
 	}
 	if err := d.startWAL(record{Hard: &hs, Entries: after}); err != nil {
@@ -361,7 +361,7 @@
 	return nil
 }
 
-// startWAL writes a new generation of the log and makes it the one in use.
+// startWAL writes a new generation of the log and switches to it.
 func (d *Disk) startWAL(first record) error {
 	payload, err := msgpack.Marshal(&first)
 	if err != nil {
@@ -369,7 +369,7 @@
 	}
 	d.gen++
 	name := fmt.Sprintf("%s%016x", walPrefix, d.gen)
-	if err := d.writeWhole(name, payload); err != nil {
+	if err := d.writeAtomic(name, payload); err != nil {
 		return err
 	}
 	if d.wal != nil {
@@ -384,14 +384,14 @@
 	for _, prefix := range []string{walPrefix, snapPrefix} {
 		names := d.list(prefix)
 		for _, n := range names[:len(names)-1] {
-			os.Remove(n) // a leftover is harmless: the newest is read
+			os.Remove(n) // a leftover is harmless: only the newest file is read
 		}
 	}
 }
 
-// writeWhole writes a file so that it is either absent or complete: write,
-// sync, rename, sync the folder.
-func (d *Disk) writeWhole(name string, payload []byte) error {
+// writeAtomic writes a file so that it is either absent or complete: write, sync, rename, sync
+// the folder.
+func (d *Disk) writeAtomic(name string, payload []byte) error {
 	path := filepath.Join(d.dir, name)
 	f, err := os.OpenFile(path+tempSuffix, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -415,7 +415,7 @@
 		err = d.syncFolder()
 	}
 	if errors.Is(err, unix.ENOSPC) {
-		os.Remove(path + tempSuffix) // gives its room back
+		os.Remove(path + tempSuffix) // frees its space
 		return ErrDiskFull
 	}
 	return Error.Wrap(err)
@@ -434,7 +434,7 @@
 	return nil
 }
 
-// Full reports whether the disk has less room than MinFreeBytes.
+// Full reports whether the disk has less than MinFreeBytes of free space.
 func (d *Disk) Full() bool {
 	var st unix.Statfs_t
 	if err := unix.Statfs(d.dir, &st); err != nil {
@@ -446,7 +446,7 @@
 // Size returns the length of the current log file in bytes.
 func (d *Disk) Size() int64 { return d.size }
 
-// Close releases the folder.
+// Close closes the log file and releases the lock on the folder.
 func (d *Disk) Close() error {
 	err := d.wal.Close()
 	d.lock.Close()
--- a/quorum/disk_test.go
+++ b/quorum/disk_test.go
@@ -36,8 +36,8 @@
 	return names[0]
 }
 
-// A replica restarts and must know its identity, term, vote and log, with the
-// later of two entries written under one index.
+// A replica that restarts must have its identity, term, vote and log, with the later of two entries
+// written at the same index.
 func TestDiskKeepsVoteAndLog(t *testing.T) {
 	dir := t.TempDir()
 	d := openDisk(t, dir)
@@ -51,8 +51,8 @@
 	}
 }
 
-// A crash in the middle of a write leaves a torn tail. It was never synced, so
-// nobody was told of it; the replica cuts it and starts.
+// A crash in the middle of a write leaves an incomplete tail. It was neither synced nor acknowledged,
+// so the replica truncates it and starts.
 func TestTornTailIsCut(t *testing.T) {
 	for _, keep := range []int64{1, 7, 8, 20} {
 		dir := t.TempDir()
@@ -66,19 +66,18 @@
 		}
 		again := openDisk(t, dir)
 		if st := again.Stored(); len(st.Entries) != 3 || st.Cut != keep {
-			t.Fatalf("kept %d bytes: %d entries, cut %d", keep, len(st.Entries), st.Cut)
+			t.Fatalf("%d bytes of a torn record: %d entries, %d bytes truncated", keep, len(st.Entries), st.Cut)
 		}
 		save(t, again, 1, 4, 5)
 		again.Close()
 		if st := openDisk(t, dir).Stored(); len(st.Entries) != 5 {
-			t.Fatalf("after the cut: %d entries", len(st.Entries))
+			t.Fatalf("after the truncation: %d entries", len(st.Entries))
 		}
 	}
 }
 
-// A bit flips in a record that was synced long ago. Cutting there would undo
-// accepted changes in silence, so the replica refuses to start and names the
-// file and the remedy.
+// A bit flips in a record that was synced long ago. Truncating the log there would silently undo
+// acknowledged changes, so the replica refuses to start and names the file and the remedy.
 func TestEarlierDamageIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	d := openDisk(t, dir)
@@ -105,9 +104,9 @@
 	}
 }
 
-// The process dies between any two steps of taking a snapshot: the files then
-// in the folder must always add up to the same log.
-func TestSnapshotSurvivesADeathBetweenItsSteps(t *testing.T) {
+// If the process crashes between any two steps of taking a snapshot, the files in the folder must
+// still contain the same log.
+func TestSnapshotSurvivesACrashBetweenItsSteps(t *testing.T) {
 	dir := t.TempDir()
 	d := openDisk(t, dir)
 	save(t, d, 2, 1, 10)
@@ -130,19 +129,19 @@
 	}
 	check("after all steps")
 	newWAL := walFile(t, dir)
-	if err := os.WriteFile(oldWAL, old, 0o600); err != nil { // died before the old log went
+	if err := os.WriteFile(oldWAL, old, 0o600); err != nil { // crashed before the old log was removed
 		t.Fatal(err)
 	}
 	check("old log still there")
-	os.Remove(newWAL) // died before the new log was in place
+	os.Remove(newWAL) // crashed before the new log was in place
 	check("only the old log")
 	os.WriteFile(filepath.Join(dir, "snapshot-x"+tempSuffix), []byte("half"), 0o600)
 	check("half a snapshot under its temporary name")
 }
 
-// Two processes on one folder would overwrite each other's votes. The second is
-// refused; so is a log whose identity file was removed.
-func TestFolderIsGuarded(t *testing.T) {
+// Two processes in one folder would overwrite each other's votes, so the second is refused. A log
+// whose identity file was removed is refused as well.
+func TestDataFolderRejectsSecondProcessAndMissingIdentity(t *testing.T) {
 	dir := t.TempDir()
 	d := openDisk(t, dir)
 	if _, err := OpenDisk(dir); err == nil || !strings.Contains(err.Error(), "in use") {
@@ -155,8 +154,8 @@
 	}
 }
 
-// Whatever bytes a log file holds, opening it either works or is refused with
-// an error; it never panics and never returns entries out of order.
+// Opening a log file with arbitrary content either succeeds or returns an error. It never panics and
+// never returns entries out of order.
 func FuzzOpenDisk(f *testing.F) {
 	good, err := encodeRecord(record{Hard: &HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1, Data: []byte("x")}}})
 	if err != nil {
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -1,8 +1,7 @@
 package quorum
 
-// campaign asks for votes. A pre-vote changes no term: a replica that was cut
-// off for long would otherwise come back with a high term and depose a healthy
-// leader.
+// campaign requests pre-votes or votes. A pre-vote does not change the term: otherwise a replica
+// that was cut off for long would return with a high term and depose a working leader.
 func (c *Core) campaign(pre bool) {
 	c.resetTimeout()
 	c.leader = 0
@@ -15,7 +14,7 @@
 		c.vote = c.id
 	}
 	if c.wonVotes() {
-		c.win()
+		c.onElectionWon()
 		return
 	}
 	c.askVotes(pre, false)
@@ -38,7 +37,7 @@
 	return c.log.config().config.majority(func(id uint64) bool { return c.votes[id] })
 }
 
-func (c *Core) win() {
+func (c *Core) onElectionWon() {
 	if c.role == PreCandidate {
 		c.campaign(false)
 		return
@@ -51,14 +50,14 @@
 	c.peers = make(map[uint64]*progress)
 	c.syncPeers()
 	for _, p := range c.peers {
-		p.probe = false // most lack nothing but what comes next
+		p.probe = false // most replicas lack only the new entries
 	}
 	c.appendOwn(EntryNoop, nil)
-	c.broadcast(everybody)
+	c.broadcast(heartbeatAll)
 }
 
-// syncPeers makes the set of followed replicas equal to the configuration. What a
-// newcomer holds is not known.
+// syncPeers makes the set of tracked replicas equal to the configuration's members. The log
+// position of a new one is unknown, so it is probed.
 func (c *Core) syncPeers() {
 	cfg := c.log.config().config
 	for _, r := range cfg.Members() {
@@ -73,7 +72,7 @@
 	}
 }
 
-// upToDate reports whether a candidate's log holds everything committed here.
+// upToDate reports whether a candidate's log is at least as up to date as this replica's.
 func (c *Core) upToDate(m Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
@@ -83,8 +82,8 @@
 
 func (c *Core) onVoteRequest(m Message) {
 	pre := m.Kind == MsgPreVote
-	free := c.vote == m.From || (c.vote == 0 && c.leader == 0) || (pre && m.Term > c.term)
-	grant := free && c.upToDate(m) && !(pre && c.goesFirst(m))
+	mayVote := c.vote == m.From || (c.vote == 0 && c.leader == 0) || (pre && m.Term > c.term)
+	grant := mayVote && c.upToDate(m) && !(pre && c.hasPriority(m))
 	resp := Message{Kind: MsgVoteResp, From: c.id, To: m.From, Term: m.Term, Reject: !grant}
 	if pre {
 		resp.Kind = MsgPreVoteResp
@@ -98,17 +97,17 @@
 	c.messages = append(c.messages, resp)
 }
 
-// campaignStart is how long after the start of its own campaign a replica takes another's
-// for one of the same moment: a round trip between regions and a tick.
-const campaignStart = HeartbeatTicks
+// tieBreakTicks is how long after the start of its own campaign a replica treats another's
+// campaign as simultaneous: a round trip between regions plus one tick.
+const tieBreakTicks = HeartbeatTicks
 
-// goesFirst reports whether this replica has just begun to campaign with as good a log as
-// the one that asks, and goes first by its name. Granting each other's pre-vote both would
-// go on, vote for themselves and refuse each other; the callers then wait for another
-// election timeout. It holds for the first moment only: a replica whose campaigns get
-// nowhere must not keep one from leading that more of the others hear.
-func (c *Core) goesFirst(m Message) bool {
-	return c.role == PreCandidate && c.silence < campaignStart && c.id > m.From &&
+// hasPriority reports whether this replica has just started a campaign with a log equal to the
+// candidate's and wins the tie by its higher ID. If both granted each other's pre-vote, both would
+// go on, vote for themselves and reject each other, and callers would wait for another election
+// timeout. The priority ends after tieBreakTicks: a replica whose campaigns fail must not block
+// one that can reach more of the others.
+func (c *Core) hasPriority(m Message) bool {
+	return c.role == PreCandidate && c.electionElapsed < tieBreakTicks && c.id > m.From &&
 		m.LogTerm == c.log.lastTerm() && m.Index == c.log.last()
 }
 
@@ -118,12 +117,12 @@
 	}
 	c.votes[m.From] = true
 	if c.wonVotes() {
-		c.win()
+		c.onElectionWon()
 	}
 }
 
-// onTimeoutNow campaigns at once: the old leader asked for it and stopped
-// accepting proposals, so no pre-vote is needed.
+// onTimeoutNow campaigns immediately. No pre-vote is needed, because the old leader requested the
+// election and has stopped accepting proposals.
 func (c *Core) onTimeoutNow() {
 	if !c.log.config().config.IsVoter(c.id) {
 		return
@@ -134,7 +133,7 @@
 	c.votes = map[uint64]bool{c.id: true}
 	c.resetTimeout()
 	if c.wonVotes() {
-		c.win()
+		c.onElectionWon()
 		return
 	}
 	c.askVotes(false, true)
--- a/quorum/election_test.go
+++ b/quorum/election_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// campaignAtOnce lets replicas campaign in the same tick, with none of their messages
-// delivered in between, and returns the ticks until one of them leads.
-func campaignAtOnce(w *network, at ...*fakeReplica) int {
-	for _, r := range at {
+// campaignSimultaneously lets replicas campaign in the same tick, before any of their messages is
+// delivered, and returns the number of ticks until one of them leads, -1 if none does.
+func campaignSimultaneously(w *network, candidates ...*fakeReplica) int {
+	for _, r := range candidates {
 		r.core.campaign(true)
 		w.process(r)
 	}
@@ -23,25 +23,25 @@
 	return -1
 }
 
-// The leader is gone, and the two that are left campaign at the same moment. If each
-// granted the other's pre-vote, both would go on, vote for themselves and refuse the
-// other: callers would wait for another whole election timeout.
+// The leader fails, and the two other replicas campaign at the same moment. If each granted the
+// other's pre-vote, both would go on, vote for themselves and reject each other, and callers would
+// wait for another election timeout.
 func TestCampaignsAtTheSameMomentElectOne(t *testing.T) {
-	w, leader := settled(t, 3)
+	w, leader := settledNetwork(t, 3)
 	w.stop(leader)
 	w.inFlight = nil
 	rest := w.others(leader)
-	if ticks := campaignAtOnce(w, rest...); ticks < 0 || ticks > 2*ElectionTicks/8 {
-		t.Errorf("a leader after %d ticks", ticks)
+	if ticks := campaignSimultaneously(w, rest...); ticks < 0 || ticks > 2*ElectionTicks/8 {
+		t.Errorf("a leader was elected after %d ticks", ticks)
 	}
 	w.fatalOnError(t)
 }
 
-// One replica hears all others, and these hear nobody but it. They campaign over and over,
-// none with a majority; the one in the middle must be elected though their names are
-// higher than its own.
+// One replica can reach all others, and these can reach only it. They campaign repeatedly without a
+// majority. The one in the middle must be elected although its ID is lower than theirs, that is,
+// although they win ties against it.
 func TestReplicaInTheMiddleIsElected(t *testing.T) {
-	w, leader := settled(t, 5)
+	w, leader := settledNetwork(t, 5)
 	others := w.others(leader)
 	w.stop(leader)
 	middle := others[0]
--- a/quorum/fuzz_test.go
+++ b/quorum/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var runs = flag.Int("runs", 60, "operation sequences in each stateful fuzz")
+var runs = flag.Int("runs", 60, "operation sequences per stateful fuzz test")
 
-// op is one thing that happens to a group of replicas; A and B choose whom.
+// op is one event in a group of replicas. A and B select the replicas or messages concerned.
 type op struct{ Kind, A, B int }
 
 const (
@@ -37,13 +37,13 @@
 	opKinds
 )
 
-// opNames are what a failing sequence prints.
+// opNames are the names printed for a failing sequence.
 var opNames = [...]string{"tick", "deliver", "deliver-all", "drop", "duplicate", "propose", "crash", "restart", "cut", "heal", "freeze", "wipe", "repair", "compact", "transfer", "read"}
 
 func (o op) String() string { return fmt.Sprintf("%s(%d,%d)", opNames[o.Kind], o.A, o.B) }
 
-// weights make the ordinary more frequent than the failures, else no sequence
-// gets far enough to have something to lose.
+// weights make ordinary operations more frequent than failures; otherwise no sequence acknowledges
+// enough commands for a loss to show.
 var weights = [opKinds]int{opTick: 14, opDeliver: 14, opDeliverAll: 14, opDrop: 3, opDuplicate: 3, opPropose: 14, opCrash: 3, opRestart: 5,
 	opCut: 2, opHeal: 3, opFreeze: 2, opWipe: 2, opRepair: 4, opCompact: 2, opTransfer: 2, opRead: 4}
 
@@ -57,7 +57,7 @@
 	return gen.Struct(reflect.TypeOf(op{}), map[string]gopter.Gen{"Kind": gen.OneConstOf(kinds...), "A": gen.IntRange(0, 30), "B": gen.IntRange(0, 30)})
 }
 
-func (w *network) do(o op) {
+func (w *network) execute(o op) {
 	r := w.replicas[o.A%len(w.replicas)]
 	switch o.Kind {
 	case opTick:
@@ -116,7 +116,7 @@
 		w.stop(r)
 		return
 	}
-	r.dies, r.dying = true, at
+	r.crashPending, r.crashAt = true, at
 }
 
 func (w *network) onReplica(r *fakeReplica, o op) {
@@ -141,22 +141,22 @@
 	case opRead:
 		id := uint64(len(r.reads) + 1)
 		if r.core.Read(id) == nil {
-			r.reads[id] = int(w.ackedAt)
+			r.reads[id] = int(w.ackedIndex)
 		}
 	}
 	w.process(r)
 }
 
-// finish heals everything and checks that the group comes back with all that
-// was acknowledged.
-func (w *network) finish() {
+// healAndCheck ends all faults and checks that the group recovers with everything that was
+// acknowledged.
+func (w *network) healAndCheck() {
 	clear(w.cut)
 	for _, r := range w.replicas {
 		r.frozen = false
 		if r.core == nil {
 			w.start(r)
 		}
-		r.dies = false
+		r.crashPending = false
 		w.process(r)
 	}
 	w.settle(300)
@@ -170,13 +170,13 @@
 	w.checkAll()
 }
 
-// checkAll compares every replica's state with the plain list of what was
-// acknowledged: each once, in the order acknowledged.
+// checkAll checks that all replicas have applied the same commands and that each acknowledged
+// command was applied exactly once.
 func (w *network) checkAll() {
 	want := w.leader().applied
 	for _, r := range w.replicas {
 		if !slices.Equal(r.applied, want) {
-			w.failf("%s has applied %d commands, the leader %d, or others", r.name, len(r.applied), len(want))
+			w.failf("%s has applied %d commands, the leader %d, or they differ", r.name, len(r.applied), len(want))
 		}
 	}
 	count := make(map[string]int)
@@ -185,7 +185,7 @@
 	}
 	for _, c := range w.acked {
 		if count[c] != 1 {
-			w.failf("acknowledged %s is there %d times", c, count[c])
+			w.failf("acknowledged command %s was applied %d times", c, count[c])
 		}
 	}
 }
@@ -198,9 +198,9 @@
 	props.Property("no acknowledged command is lost, changed or doubled", prop.ForAll(func(ops []op) (string, error) {
 		w := newNetwork(n, seed)
 		for _, o := range ops {
-			w.do(o)
+			w.execute(o)
 		}
-		w.finish()
+		w.healAndCheck()
 		if len(w.errors) > 0 {
 			return fmt.Sprint(w.errors[0], " after ", ops), nil
 		}
@@ -209,17 +209,16 @@
 	props.TestingRun(t)
 }
 
-// Replicas lose, reorder, duplicate and delay messages, are cut off one way,
-// freeze, crash with unsynced entries, lose their disks and come back as
-// learners. Whatever happens, a caller whose command was acknowledged finds it
-// there once, on every replica, and a confirmed read never misses it.
+// Replicas lose, reorder, duplicate and delay messages, are cut off in one direction, freeze, crash
+// with unsynced entries, lose their disks and return as learners. Every acknowledged command must
+// be applied once on every replica, and a confirmed read must never miss it.
 func TestThreeReplicasKeepWhatTheyAcknowledged(t *testing.T) { fuzzReplicas(t, 3, 1) }
 
-// The same with five replicas, where two may be away at once.
+// The same with five replicas, two of which may be unavailable at the same time.
 func TestFiveReplicasKeepWhatTheyAcknowledged(t *testing.T) { fuzzReplicas(t, 5, 2) }
 
-// A new cluster takes its other replicas in as learners and makes them voters
-// one committed step at a time, without any failure.
+// Without any failure, a new cluster adds its other replicas as learners and promotes them to voters
+// one committed step at a time.
 func TestReplicasJoinAndAgree(t *testing.T) {
 	w := newNetwork(5, 7)
 	w.settle(200)
--- a/quorum/golden_test.go
+++ b/quorum/golden_test.go
@@ -7,13 +7,13 @@
 	"github.com/waxwinghaven/waxwinghaven/golden"
 )
 
-// dialogue plays one scene and returns every message of it, with the state of
-// all replicas at each step that it names.
-type dialogue struct{ *network }
+// transcript records every message of a test run in sections, and the state of all replicas where
+// requested.
+type transcript struct{ *network }
 
-func (d dialogue) scene(title string) { fmt.Fprintf(&d.log, "\n# %s\n", title) }
+func (d transcript) section(title string) { fmt.Fprintf(&d.log, "\n# %s\n", title) }
 
-func (d dialogue) states() {
+func (d transcript) writeStates() {
 	for _, r := range d.replicas {
 		if r.core == nil {
 			fmt.Fprintf(&d.log, "  %s is down\n", r.name)
@@ -25,48 +25,48 @@
 	}
 }
 
-// Three replicas come together, take a change, and go on when the leader dies.
-// The golden file is the whole dialogue: a change of the protocol shows there.
-func TestDialogueOfElectionAndChange(t *testing.T) {
-	d := dialogue{newNetwork(3, 3)}
-	d.scene("the others joined; one change")
+// Three replicas form a cluster, commit a change and continue after the leader fails. The golden file
+// contains every message, so that a change of the protocol shows there.
+func TestTranscriptOfElectionAndChange(t *testing.T) {
+	d := transcript{newNetwork(3, 3)}
+	d.section("the others joined; one change")
 	d.settle(30)
 	d.propose(d.leader())
 	d.settle(5)
-	d.states()
+	d.writeStates()
 	old := d.leader()
-	d.scene(old.name + " dies; a new leader takes a change")
+	d.section(old.name + " dies; a new leader takes a change")
 	d.stop(old)
 	d.settle(40)
 	d.propose(d.leader())
 	d.settle(5)
-	d.states()
-	d.scene(old.name + " comes back")
+	d.writeStates()
+	d.section(old.name + " comes back")
 	d.start(old)
 	d.settle(5)
-	d.states()
+	d.writeStates()
 	d.fatalOnError(t)
 	golden.Compare(t, "testdata/election-and-change.golden", d.log.String())
 }
 
-// A leader takes a change while it is cut off. The others go on without it; when
-// the cut heals, its entry is replaced and it follows.
-func TestDialogueOfACutOffLeader(t *testing.T) {
-	d := dialogue{newNetwork(3, 5)}
+// A leader accepts a change while it is cut off. The others continue without it; when the cut heals,
+// its entry is replaced and it becomes a follower.
+func TestTranscriptOfACutOffLeader(t *testing.T) {
+	d := transcript{newNetwork(3, 5)}
 	d.settle(30)
 	d.log.Reset()
 	old := d.leader()
-	d.scene(old.name + " is cut off and takes a change that is never committed")
+	d.section(old.name + " is cut off and takes a change that is never committed")
 	d.isolate(old)
 	d.propose(old)
 	d.settle(45)
 	d.propose(d.leader())
 	d.settle(3)
-	d.states()
-	d.scene("the cut heals")
+	d.writeStates()
+	d.section("the cut heals")
 	clear(d.cut)
 	d.settle(10)
-	d.states()
+	d.writeStates()
 	d.fatalOnError(t)
 	if len(old.applied) != 1 || old.applied[0] != "c2" {
 		t.Errorf("the old leader has applied %v", old.applied)
@@ -74,32 +74,32 @@
 	golden.Compare(t, "testdata/cut-off-leader.golden", d.log.String())
 }
 
-// forgetRetained drops the entries that are kept behind a snapshot, as happens
-// by itself after some thousand more.
-func forgetRetained(l *memLog) {
+// dropRetained drops the entries that are retained before a snapshot's index, as a leader does after
+// some thousand more entries.
+func dropRetained(l *memLog) {
 	l.entries = append([]Entry(nil), l.after(l.snap.Index)...)
 	l.base, l.baseTerm = l.snap.Index, l.snap.Term
 	l.rebaseConfigs(configAt{l.snap.Index, l.snap.Config})
 }
 
-// A replica loses its disk and rejoins under a new identity, by a snapshot.
-func TestDialogueOfALostDisk(t *testing.T) {
-	d := dialogue{newNetwork(3, 7)}
+// A replica loses its disk and rejoins under a new identity by a snapshot.
+func TestTranscriptOfALostDisk(t *testing.T) {
+	d := transcript{newNetwork(3, 7)}
 	d.settle(30)
 	for range 3 {
 		d.propose(d.leader())
 		d.settle(3)
 	}
 	d.compact(d.leader())
-	forgetRetained(d.leader().core.log)
+	dropRetained(d.leader().core.log)
 	d.log.Reset()
 	victim := d.others(d.leader())[0]
-	d.scene(victim.name + " loses its disk")
+	d.section(victim.name + " loses its disk")
 	d.stop(victim)
 	d.wipe(victim)
 	d.start(victim)
 	d.settle(25)
-	d.states()
+	d.writeStates()
 	d.fatalOnError(t)
 	golden.Compare(t, "testdata/lost-disk.golden", d.log.String())
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -2,12 +2,12 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// retainedEntries stay in memory behind a snapshot, so that a replica only a
-// little behind is sent entries and not the snapshot.
+// retainedEntries is the number of entries that stay in memory before a snapshot's index, so that
+// a replica slightly behind is sent entries instead of the snapshot.
 const retainedEntries = 1024
 
-// memLog is the recent part of the log, and how far it is committed, handed
-// out to be persisted and handed out to be applied.
+// memLog is the recent part of the log, with the positions up to which it is committed, handed out
+// to be persisted and handed out to be applied.
 //
 // Invariant: base <= snap.Index <= applied <= committed <= last.
 type memLog struct {
@@ -16,31 +16,31 @@
 	baseTerm  uint64
 	entries   []Entry // entries[i].Index == base+1+i
 	committed uint64
-	applied   uint64 // handed out in Ready.Committed
-	handed    uint64 // handed out in Ready.Entries
+	applied   uint64 // highest index handed out in Ready.Committed
+	handedOut uint64 // highest index handed out in Ready.Entries
 	configs   []configAt
-	retain    uint64 // entries that stay in memory behind a snapshot
+	retain    uint64 // number of entries to keep in memory before a snapshot's index
 }
 
-// configAt is a configuration in force from the moment it is appended.
+// configAt is a configuration and its log index. It takes effect when it is appended.
 type configAt struct {
 	index  uint64
 	config Config
 }
 
 func newMemLog(snap Snapshot, entries []Entry, committed uint64) *memLog {
-	l := &memLog{snap: snap, base: snap.Index, baseTerm: snap.Term, committed: snap.Index, applied: snap.Index, handed: snap.Index,
+	l := &memLog{snap: snap, base: snap.Index, baseTerm: snap.Term, committed: snap.Index, applied: snap.Index, handedOut: snap.Index,
 		retain: retainedEntries}
 	l.configs = []configAt{{snap.Index, snap.Config}}
 	l.append(entries)
-	l.handed = l.last()
+	l.handedOut = l.last()
 	l.commitTo(committed)
 	return l
 }
 
 func (l *memLog) last() uint64 { return l.base + uint64(len(l.entries)) }
 
-// term returns the term at index i; ok is false when i is compacted or not yet there.
+// term returns the term at index i. ok is false if i is compacted or beyond the last index.
 func (l *memLog) term(i uint64) (term uint64, ok bool) {
 	switch {
 	case i == l.base:
@@ -56,7 +56,7 @@
 	return t
 }
 
-// slice returns the entries from lo on, cut at about maxBytes but never empty.
+// slice returns the entries from lo on, limited to about maxBytes but at least one if there is any.
 func (l *memLog) slice(lo uint64, maxBytes int) []Entry {
 	if lo > l.last() {
 		return nil
@@ -72,7 +72,7 @@
 	return all[:len(all):len(all)]
 }
 
-// entryOverhead is the encoded size of an entry without its data, in bytes.
+// entryOverhead is the approximate encoded size of an entry without its data, in bytes.
 const entryOverhead = 24
 
 func (e Entry) bytes() int { return len(e.Data) + entryOverhead }
@@ -94,11 +94,10 @@
 	}
 }
 
-// merge appends what a leader sent and drops what contradicts it.
+// merge appends entries from a leader and drops existing ones that conflict with them.
 //
-// A conflict at or below the commit index would mean that a committed entry
-// changed. The quorum rules exclude it, so it is a panic and not an error:
-// going on would spread the damage.
+// A conflict at or below the commit index would change a committed entry. The protocol rules that
+// out, so it panics: returning an error and continuing would spread the corruption.
 func (l *memLog) merge(entries []Entry) {
 	for i, e := range entries {
 		if t, ok := l.term(e.Index); ok && t == e.Term {
@@ -117,9 +116,9 @@
 	if index > l.last() {
 		return
 	}
-	// The old array may still be read by a message under way.
+	// A message that is still being sent may refer to the old array.
 	l.entries = append([]Entry(nil), l.entries[:index-l.base-1]...)
-	l.handed = min(l.handed, index-1)
+	l.handedOut = min(l.handedOut, index-1)
 	for l.configs[len(l.configs)-1].index >= index {
 		l.configs = l.configs[:len(l.configs)-1]
 	}
@@ -129,10 +128,10 @@
 	l.committed = max(l.committed, min(index, l.last()))
 }
 
-// config returns the newest configuration in the log and where it stands.
+// config returns the latest configuration in the log and its index.
 func (l *memLog) config() configAt { return l.configs[len(l.configs)-1] }
 
-// configUpTo returns the configuration in force at index.
+// configUpTo returns the configuration in effect at index.
 func (l *memLog) configUpTo(index uint64) Config {
 	for i := len(l.configs) - 1; i > 0; i-- {
 		if l.configs[i].index <= index {
@@ -142,9 +141,8 @@
 	return l.configs[0].config
 }
 
-// compact takes a snapshot of the applied part and forgets the entries behind
-// it, but for the last few and for those that are needed from an index on, as long
-// as these take no more than pinnedBytes.
+// compact records a snapshot of the applied part and drops the entries it covers, except for the
+// last l.retain ones and those after the index needed, as long as these take at most pinnedBytes.
 func (l *memLog) compact(s Snapshot, needed uint64) {
 	if s.Index <= l.snap.Index || s.Index > l.applied {
 		return
@@ -174,24 +172,24 @@
 	l.configs = configs
 }
 
-// after returns the entries past an index that is still in memory.
+// after returns the entries after an index that is still in memory.
 func (l *memLog) after(index uint64) []Entry { return l.entries[index-l.base:] }
 
-// restore replaces the whole log by a snapshot from the leader.
+// restore replaces the whole log with a snapshot from the leader.
 func (l *memLog) restore(s Snapshot) {
-	*l = memLog{snap: s, base: s.Index, baseTerm: s.Term, committed: s.Index, applied: s.Index, handed: s.Index, retain: l.retain}
+	*l = memLog{snap: s, base: s.Index, baseTerm: s.Term, committed: s.Index, applied: s.Index, handedOut: s.Index, retain: l.retain}
 	l.configs = []configAt{{s.Index, s.Config}}
 }
 
 func encodeConfig(c Config) []byte {
 	b, err := msgpack.Marshal(&c)
 	if err != nil {
-		panic(err) // a struct of strings and numbers always encodes
+		panic(err) // a struct of strings and numbers can always be encoded
 	}
 	return b
 }
 
-// decodeConfig reads a configuration that this program wrote into the log.
+// decodeConfig decodes a configuration entry that this program wrote to the log.
 func decodeConfig(b []byte) Config {
 	var c Config
 	if err := msgpack.Unmarshal(b, &c); err != nil {
--- a/quorum/network_test.go
+++ b/quorum/network_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// fakeDisk is what a replica still knows after a crash.
+// fakeDisk holds the state that survives a crash of a replica.
 type fakeDisk struct {
 	id      uint64
 	hard    HardState
@@ -27,48 +27,48 @@
 	}
 }
 
-// crashPoint is where in its next Ready a replica dies.
+// crashPoint is the point in the handling of its next Ready at which a replica crashes.
 type crashPoint int
 
 const (
 	crashNow        crashPoint = iota
-	crashBeforeSave            // early messages are out, nothing is synced
-	crashAfterSave             // synced, but neither answered nor applied
+	crashBeforeSave            // early messages are sent, nothing is synced
+	crashAfterSave             // synced, but no response sent and nothing applied
 )
 
-// fakeReplica drives one core the way Node does.
+// fakeReplica drives one core in the way Node does.
 type fakeReplica struct {
-	name    string
-	disk    *fakeDisk
-	core    *Core
-	applied []string // the state machine: all commands in order
-	at      uint64
-	frozen  bool
-	dying   crashPoint
-	dies    bool
-	acked   map[uint64]uint64 // own proposals by index: term
-	reads   map[uint64]int    // read id to the acknowledged count when asked
+	name         string
+	disk         *fakeDisk
+	core         *Core
+	applied      []string // the state machine: all commands in order
+	appliedIndex uint64
+	frozen       bool
+	crashAt      crashPoint
+	crashPending bool
+	proposals    map[uint64]uint64 // own proposals: index to term
+	reads        map[uint64]int    // read ID to ackedIndex at the time of the request
 }
 
-// network joins replicas in memory. Everything that happens is decided by the
-// caller, so a run is a function of its operations.
+// network connects replicas in memory. The caller decides every event, so a run is deterministic for
+// a given seed and sequence of operations.
 type network struct {
-	rng      *rand.Rand
-	replicas []*fakeReplica
-	inFlight []Message
-	cut      map[[2]uint64]bool
-	nextID   uint64
-	next     int
-
-	committed map[uint64]string // oracle: what was first applied at an index
-	leaders   map[uint64]uint64 // oracle: the leader of each term
-	acked     []string          // oracle: proposals that were acknowledged
-	ackedAt   uint64            // highest acknowledged index
-	spares    int               // replicas beyond those that bear the losses
-	centres   int               // data centres over which the replicas stand, 0 for unknown ones
-	log       strings.Builder
-	quiet     bool // keeps no log
-	// tune adapts a core that has just been made.
+	rng         *rand.Rand
+	replicas    []*fakeReplica
+	inFlight    []Message
+	cut         map[[2]uint64]bool
+	nextID      uint64
+	nextCommand int
+
+	committed   map[uint64]string // oracle: the entry first applied at each index
+	leaders     map[uint64]uint64 // oracle: the leader of each term
+	acked       []string          // oracle: commands that were acknowledged
+	ackedIndex  uint64            // highest acknowledged index
+	spares      int               // replicas beyond those needed for the tolerated losses
+	dataCentres int               // number of data centres of the replicas, 0 if unknown
+	log         strings.Builder
+	noLog       bool // disables the log
+	// tune adjusts a newly created core.
 	tune   func(*Core)
 	errors []string
 }
@@ -105,8 +105,8 @@
 	if w.tune != nil {
 		w.tune(r.core)
 	}
-	r.applied, r.at, r.frozen, r.dies = decodeApplied(d.snap.Data), d.snap.Index, false, false
-	r.acked, r.reads = make(map[uint64]uint64), make(map[uint64]int)
+	r.applied, r.appliedIndex, r.frozen, r.crashPending = decodeApplied(d.snap.Data), d.snap.Index, false, false
+	r.proposals, r.reads = make(map[uint64]uint64), make(map[uint64]int)
 	w.process(r)
 }
 
@@ -119,30 +119,30 @@
 
 func (w *network) stop(r *fakeReplica) { r.core = nil }
 
-// process does what Node.process does, with the crash points in between.
+// process does what Node.process does, with crash points in between.
 func (w *network) process(r *fakeReplica) {
 	for r.core != nil && !r.frozen {
 		rd := r.core.Ready()
 		w.send(rd.Early)
-		if r.dies && r.dying == crashBeforeSave && len(rd.Entries) > 0 {
+		if r.crashPending && r.crashAt == crashBeforeSave && len(rd.Entries) > 0 {
 			w.stop(r)
 			return
 		}
 		r.disk.save(rd)
-		if r.dies && r.dying == crashAfterSave && len(rd.Entries) > 0 {
+		if r.crashPending && r.crashAt == crashAfterSave && len(rd.Entries) > 0 {
 			w.stop(r)
 			return
 		}
-		w.take(r, rd)
+		w.handleReady(r, rd)
 		if len(rd.Entries) == 0 && len(rd.Committed) == 0 && rd.Snapshot == nil {
 			return
 		}
 	}
 }
 
-func (w *network) take(r *fakeReplica, rd Ready) {
+func (w *network) handleReady(r *fakeReplica, rd Ready) {
 	if rd.Snapshot != nil {
-		r.applied, r.at = decodeApplied(rd.Snapshot.Data), rd.Snapshot.Index
+		r.applied, r.appliedIndex = decodeApplied(rd.Snapshot.Data), rd.Snapshot.Index
 	}
 	if n := len(rd.Entries); n > 0 {
 		r.core.Persisted(rd.Entries[n-1].Index, rd.Entries[n-1].Term)
@@ -152,14 +152,14 @@
 		w.apply(r, e)
 	}
 	for _, read := range rd.Reads {
-		if asked := r.reads[read.ID]; read.Index < uint64(asked) {
-			w.failf("%s: a confirmed read at %d misses the acknowledged %d", r.name, read.Index, asked)
+		if ackedBefore := r.reads[read.ID]; read.Index < uint64(ackedBefore) {
+			w.failf("%s: a confirmed read at index %d misses the acknowledged index %d", r.name, read.Index, ackedBefore)
 		}
 	}
-	w.watchLeader(r)
+	w.checkSingleLeader(r)
 }
 
-func (w *network) watchLeader(r *fakeReplica) {
+func (w *network) checkSingleLeader(r *fakeReplica) {
 	if r.core.role != Leader {
 		return
 	}
@@ -170,10 +170,10 @@
 }
 
 func (w *network) apply(r *fakeReplica, e Entry) {
-	if e.Index != r.at+1 {
-		w.failf("%s applied %d after %d", r.name, e.Index, r.at)
+	if e.Index != r.appliedIndex+1 {
+		w.failf("%s applied %d after %d", r.name, e.Index, r.appliedIndex)
 	}
-	r.at = e.Index
+	r.appliedIndex = e.Index
 	text := fmt.Sprintf("%d/%d/%s", e.Term, e.Kind, e.Data)
 	if first, ok := w.committed[e.Index]; ok && first != text {
 		w.failf("%s applied %q at %d, where %q was committed", r.name, text, e.Index, first)
@@ -182,9 +182,9 @@
 	if e.Kind == EntryCommand {
 		r.applied = append(r.applied, string(e.Data))
 	}
-	if term, mine := r.acked[e.Index]; mine && term == e.Term {
+	if term, own := r.proposals[e.Index]; own && term == e.Term {
 		w.acked = append(w.acked, string(e.Data))
-		w.ackedAt = max(w.ackedAt, e.Index)
+		w.ackedIndex = max(w.ackedIndex, e.Index)
 	}
 }
 
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// deliver hands over one message; a frozen replica gets it when it thaws.
+// deliver delivers one message. A message to a frozen replica stays in flight.
 func (w *network) deliver(i int) {
 	m := w.inFlight[i]
 	r := w.byID(m.To)
@@ -216,13 +216,13 @@
 	if r == nil || w.cut[[2]uint64{m.From, m.To}] {
 		return
 	}
-	w.note(m)
+	w.logMessage(m)
 	r.core.Step(m)
 	w.process(r)
 }
 
-func (w *network) note(m Message) {
-	if w.quiet {
+func (w *network) logMessage(m Message) {
+	if w.noLog {
 		return
 	}
 	fmt.Fprintf(&w.log, "%s %d->%d term=%d index=%d entries=%d commit=%d reject=%v\n", m.Kind, m.From, m.To, m.Term, m.Index, len(m.Entries), m.Commit, m.Reject)
@@ -237,7 +237,7 @@
 	}
 }
 
-// settle lets ticks and messages flow undisturbed, with joins and repairs.
+// settle runs ticks and delivers all messages without faults, with joins and repairs.
 func (w *network) settle(rounds int) {
 	for range rounds {
 		w.tick()
@@ -261,7 +261,7 @@
 	return best
 }
 
-// joinAll lets replicas outside the configuration ask the leader in.
+// joinAll sends the leader a join request for each running replica outside the configuration.
 func (w *network) joinAll() {
 	l := w.leader()
 	if l == nil {
@@ -269,13 +269,13 @@
 	}
 	for _, r := range w.replicas {
 		if l.core == nil {
-			return // it died of the last step
+			return // it crashed in the previous step
 		}
 		cfg := l.core.log.config().config
 		if _, in := cfg.Find(r.disk.id); in || r.core == nil {
 			continue
 		}
-		if l.core.ProposeConfig(cfg.Joined(w.introduction(r))) == nil {
+		if l.core.ProposeConfig(cfg.Joined(w.replicaInfo(r))) == nil {
 			w.process(l)
 		}
 	}
@@ -286,54 +286,54 @@
 	if l == nil {
 		return
 	}
-	next, ok := repairStep(l.core.Status(), w.known, w.bear())
+	next, ok := repairStep(l.core.Status(), w.details, w.tolerance())
 	if ok && l.core.ProposeConfig(next) == nil {
 		w.process(l)
 	}
 }
 
-// bear is the number of replicas that the group is made to lose.
-func (w *network) bear() int { return (len(w.replicas) - w.spares - 1) / 2 }
+// tolerance is the number of replicas whose simultaneous loss the group must tolerate.
+func (w *network) tolerance() int { return (len(w.replicas) - w.spares - 1) / 2 }
 
-// known is what the replica with an identity tells of itself, zero if there is none.
-func (w *network) known(id uint64) Replica {
+// details returns the description of the replica with an ID, zero if there is none.
+func (w *network) details(id uint64) Replica {
 	if r := w.byID(id); r != nil {
-		return w.introduction(r)
+		return w.replicaInfo(r)
 	}
 	return Replica{}
 }
 
-// introduction is what a replica tells of itself when it asks to be let in.
-func (w *network) introduction(r *fakeReplica) Replica {
+// replicaInfo returns the description that a replica sends with a join request.
+func (w *network) replicaInfo(r *fakeReplica) Replica {
 	out := Replica{ID: r.disk.id, Name: r.name, Address: r.name}
-	if w.centres > 0 {
-		out.DataCentre = fmt.Sprint("dc", slices.Index(w.replicas, r)%w.centres)
+	if w.dataCentres > 0 {
+		out.DataCentre = fmt.Sprint("dc", slices.Index(w.replicas, r)%w.dataCentres)
 	}
 	return out
 }
 
 func (w *network) propose(r *fakeReplica) {
-	w.next++
-	data := fmt.Sprintf("c%d", w.next)
+	w.nextCommand++
+	data := fmt.Sprintf("c%d", w.nextCommand)
 	index, term, err := r.core.Propose([]byte(data))
 	if err == nil {
-		r.acked[index] = term
+		r.proposals[index] = term
 	}
 	w.process(r)
 }
 
 func (w *network) compact(r *fakeReplica) {
-	if r.at <= r.core.log.snap.Index {
+	if r.appliedIndex <= r.core.log.snap.Index {
 		return
 	}
-	s := r.core.SnapshotAt(r.at)
+	s := r.core.SnapshotAt(r.appliedIndex)
 	s.Data = []byte(strings.Join(r.applied, ","))
 	r.core.Compact(s)
 	r.disk.snap, r.disk.entries = s, slices.Clone(r.core.log.after(s.Index))
 }
 
-// mayWipe reports whether losing this disk leaves a majority of every
-// configuration that may still count, so that nothing acknowledged can be lost.
+// mayWipe reports whether losing this disk leaves a majority of every configuration that may still
+// be in effect, so that nothing acknowledged can be lost.
 func (w *network) mayWipe(r *fakeReplica) bool {
 	l := w.leader()
 	if l == nil || l == r || l.core.log.config().index > l.core.log.committed {
@@ -341,6 +341,6 @@
 	}
 	return l.core.log.config().config.majority(func(id uint64) bool {
 		o := w.byID(id)
-		return o != nil && o != r && o.core.log.committed >= w.ackedAt
+		return o != nil && o != r && o.core.log.committed >= w.ackedIndex
 	})
 }
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -10,33 +10,36 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Sender carries messages to other replicas. Send must not block; messages to
-// one replica should keep their order, and any may be lost.
+// Sender sends messages to other replicas. Send must not block. Messages to one replica should
+// keep their order; any of them may be lost.
 type Sender interface {
 	Send(to Replica, msgs []Message)
 }
 
-// StateMachine is what the log's commands are applied to, in order. One call is made at a
-// time, but not always by the same goroutine.
+// StateMachine is the application state to which committed commands are applied in log order.
+// Calls never overlap, but they may come from different goroutines.
 type StateMachine interface {
+	// Apply executes a committed command and returns the result for its proposer.
 	Apply(index uint64, command []byte) any
+	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state with an encoded one.
 	Restore(data []byte) error
 }
 
-// Options are a node's settings.
+// Options are the settings of a Node.
 type Options struct {
 	Disk    *Disk
 	Machine StateMachine
 	Sender  Sender
-	// Self is how the replica introduces itself to the others.
+	// Self is this replica's description as sent to the others.
 	Self Replica
-	// TickEvery is the real time of one tick.
+	// TickEvery is the duration of one tick.
 	TickEvery time.Duration
-	// SnapshotEntries is the number of applied entries after which a
-	// snapshot replaces them.
+	// SnapshotEntries is the number of applied entries after which a snapshot replaces them.
 	SnapshotEntries uint64
-	Seed            int64
+	// Seed, combined with the replica's ID, seeds the election timeouts.
+	Seed int64
 }
 
 var (
@@ -46,31 +49,31 @@
 	snapshotBytes   = metrics.NewGauge(`waxwinghaven_snapshot_bytes`, nil)
 )
 
-// fullTicks is the interval at which the room on the disk is looked up.
-const fullTicks = 20
+// diskCheckTicks is the interval between checks of the free disk space.
+const diskCheckTicks = 20
 
-// maxBatch bounds the proposals that share one sync of the disk.
+// maxBatch limits the proposals that share one sync of the disk.
 const maxBatch = 512
 
-// maxLost bounds the reports of lost messages that wait to be taken.
-const maxLost = 64
+// maxLostReports limits the queue of reports about lost messages.
+const maxLostReports = 64
 
-// proposal is a command on its way to being applied.
+// proposal is a command that is waiting to be applied.
 type proposal struct {
-	data   []byte
-	onlyIn uint64    // the term that it may be proposed in, AnyTerm for all
-	term   uint64    // the term that it was proposed in
-	at     time.Time // when it was handed over
-	done   chan outcome
+	data         []byte
+	requiredTerm uint64    // the only term in which it may be proposed, or AnyTerm
+	term         uint64    // the term in which it was proposed
+	submitted    time.Time // when it was submitted
+	done         chan outcome
 }
 
-// encodedSnapshot is the outcome of encoding the state.
+// encodedSnapshot is the result of encoding the state.
 type encodedSnapshot struct {
 	Snapshot
 	err error
 }
 
-// delivery is messages with who sent them.
+// delivery is a batch of messages and their sender.
 type delivery struct {
 	from     Replica
 	messages []Message
@@ -81,14 +84,14 @@
 	err    error
 }
 
-// ErrUnknown is returned when the leadership ended before the command was
-// committed. It may or may not take effect.
+// ErrUnknown is returned if the leadership ended before the command was committed. The command may
+// or may not take effect.
 var ErrUnknown = Error.New("the outcome is unknown because the leader changed; send the same change again")
 
-// ErrDiskFull is returned when the leader's disk has no room for a change.
+// ErrDiskFull is returned if the leader's disk has no space for a change.
 var ErrDiskFull = Error.New("the data folder's disk is full; free room on it")
 
-// ErrStopped is returned by a node that has stopped.
+// ErrStopped is returned by a node that is not running any more.
 var ErrStopped = Error.New("this replica is stopping; ask another one")
 
 // Node drives a Core with a clock, a disk and a network.
@@ -99,84 +102,85 @@
 	proposals chan proposal
 	calls     chan func()
 	reads     chan chan outcome
-	lost      chan uint64 // replicas that something sent may not have reached
+	lost      chan uint64 // IDs of replicas to which a message may have been lost
 	stopped   chan struct{}
-	ending    <-chan struct{} // closed when Run is to end
-
-	waiting map[uint64]proposal // by log index
-	readers map[uint64][]chan outcome
-	pending []pendingApply
-	readID  uint64
-	applied uint64
-	// encoded brings a snapshot that was encoded beside the loop. Until then the core holds what is
-	// committed back, but contact, votes and the log go on however large the state is.
-	encoded  chan encodedSnapshot
-	fullSeen bool
-	known    map[uint64]Replica // who sent messages, by identity
-	view     atomic.Pointer[View]
-	begun    time.Time
-	heard    atomic.Int64 // when the leader was last heard, since begun
-}
-
-func (n *Node) publish() {
-	n.core.noteApplied()
-	v := View{Role: n.core.role, Term: n.core.term, InContact: n.core.leaderFresh(), Current: n.core.current()}
+	runDone   <-chan struct{} // closed when Run must return
+
+	pendingProposals map[uint64]proposal // by log index
+	unconfirmedReads map[uint64][]chan outcome
+	confirmedReads   []confirmedRead
+	readID           uint64
+	applied          uint64
+	// encoded receives a snapshot that was encoded concurrently with the main loop. Until then the
+	// core withholds committed entries, but heartbeats, votes and log replication continue
+	// however large the state is.
+	encoded       chan encodedSnapshot
+	diskFull      bool
+	senders       map[uint64]Replica // senders of messages, by ID
+	view          atomic.Pointer[View]
+	startedAt     time.Time
+	leaderHeardAt atomic.Int64 // time of the last message from the leader, since startedAt
+}
+
+func (n *Node) publishView() {
+	n.core.updateCurrent()
+	v := View{Role: n.core.role, Term: n.core.term, InContact: n.core.hasRecentLeader(), Current: n.core.current()}
 	v.Config = n.core.log.config().config
 	v.Leader, _ = v.Config.Find(n.core.leader)
-	if old := n.view.Load(); old == nil || !old.same(v) {
+	if old := n.view.Load(); old == nil || !old.equal(v) {
 		n.view.Store(&v)
 	}
 }
 
-// pendingApply is a confirmed read that waits for its index to be applied.
-type pendingApply struct {
+// confirmedRead is a confirmed read that waits until its index is applied.
+type confirmedRead struct {
 	index uint64
 	done  []chan outcome
 }
 
-// NewNode returns a node that starts from what its disk holds.
+// NewNode returns a node that starts from the content of its disk.
 func NewNode(opts Options) (*Node, error) {
 	st := opts.Disk.Stored()
 	n := &Node{
-		opts:      opts,
-		core:      NewCore(st.ID, st.Hard, st.Snapshot, st.Entries, rand.New(rand.NewSource(opts.Seed^int64(st.ID)))),
-		inbox:     make(chan delivery, 256),
-		known:     make(map[uint64]Replica),
-		proposals: make(chan proposal, maxBatch),
-		calls:     make(chan func()),
-		reads:     make(chan chan outcome, maxBatch),
-		lost:      make(chan uint64, maxLost),
-		encoded:   make(chan encodedSnapshot, 1),
-		stopped:   make(chan struct{}),
-		waiting:   make(map[uint64]proposal),
-		readers:   make(map[uint64][]chan outcome),
-		applied:   st.Snapshot.Index,
-		begun:     time.Now(),
+		opts:             opts,
+		core:             NewCore(st.ID, st.Hard, st.Snapshot, st.Entries, rand.New(rand.NewSource(opts.Seed^int64(st.ID)))),
+		inbox:            make(chan delivery, 256),
+		senders:          make(map[uint64]Replica),
+		proposals:        make(chan proposal, maxBatch),
+		calls:            make(chan func()),
+		reads:            make(chan chan outcome, maxBatch),
+		lost:             make(chan uint64, maxLostReports),
+		encoded:          make(chan encodedSnapshot, 1),
+		stopped:          make(chan struct{}),
+		pendingProposals: make(map[uint64]proposal),
+		unconfirmedReads: make(map[uint64][]chan outcome),
+		applied:          st.Snapshot.Index,
+		startedAt:        time.Now(),
 	}
 	if len(st.Snapshot.Data) > 0 {
 		if err := opts.Machine.Restore(st.Snapshot.Data); err != nil {
 			return nil, Error.New("the snapshot cannot be read by this version (%v); start the version that wrote it", err)
 		}
 	}
-	n.publish()
+	n.publishView()
 	return n, nil
 }
 
-// Run drives the replica until the context ends or the disk fails.
+// Run drives the replica until ctx is cancelled or the disk fails.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.failAll()
-	defer n.endEncoding()
-	n.ending = ctx.Done()
+	defer n.discardEncoding()
+	n.runDone = ctx.Done()
 	tick := time.NewTicker(n.opts.TickEvery)
 	defer tick.Stop()
 	for {
 		if err := n.process(); err != nil {
 			if ctx.Err() != nil && errors.Is(err, ErrDiskFull) {
-				return nil // asked to end while it waited for room
+				return nil // cancelled while waiting for disk space
 			}
 			return err
 		}
-		n.publish()
+		n.publishView()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -193,23 +197,23 @@
 		case f := <-n.calls:
 			f()
 		case s := <-n.encoded:
-			if err := n.takeSnapshot(s); err != nil {
+			if err := n.finishSnapshot(s); err != nil {
 				return err
 			}
 		}
-		n.drain()
+		n.drainQueues()
 	}
 }
 
 func (n *Node) onTick() {
 	n.core.Tick()
-	if n.core.now%fullTicks == 0 {
-		n.fullSeen = n.opts.Disk.Full()
+	if n.core.now%diskCheckTicks == 0 {
+		n.diskFull = n.opts.Disk.Full()
 	}
 }
 
-// drain takes what else has already arrived, so that it shares one sync.
-func (n *Node) drain() {
+// drainQueues takes further queued items without blocking, so that they share one sync.
+func (n *Node) drainQueues() {
 	for range maxBatch {
 		select {
 		case d := <-n.inbox:
@@ -225,24 +229,24 @@
 }
 
 func (n *Node) step(d delivery) {
-	n.known[d.from.ID] = d.from
+	n.senders[d.from.ID] = d.from
 	for _, m := range d.messages {
-		if n.fullSeen && len(m.Entries) > 0 {
-			continue // no room to persist it; the leader sends it again
+		if n.diskFull && len(m.Entries) > 0 {
+			continue // no space to persist it; the leader resends it
 		}
 		n.core.Step(m)
 		if m.fromLeader() && m.From == n.core.leader {
-			n.heard.Store(int64(time.Since(n.begun)))
+			n.leaderHeardAt.Store(int64(time.Since(n.startedAt)))
 		}
 	}
 }
 
 func (n *Node) propose(p proposal) {
-	if n.fullSeen {
+	if n.diskFull {
 		p.done <- outcome{err: ErrDiskFull}
 		return
 	}
-	if p.onlyIn != AnyTerm && p.onlyIn != n.core.term {
+	if p.requiredTerm != AnyTerm && p.requiredTerm != n.core.term {
 		p.done <- outcome{err: ErrNotLeader}
 		return
 	}
@@ -252,7 +256,7 @@
 		return
 	}
 	p.term = term
-	n.waiting[index] = p
+	n.pendingProposals[index] = p
 }
 
 func (n *Node) read(done chan outcome) {
@@ -261,10 +265,10 @@
 		done <- outcome{err: err}
 		return
 	}
-	n.readers[n.readID] = append(n.readers[n.readID], done)
+	n.unconfirmedReads[n.readID] = append(n.unconfirmedReads[n.readID], done)
 }
 
-// process does what the core asks for, in the order that Ready documents.
+// process executes what the core requests, in the order that Ready documents.
 func (n *Node) process() error {
 	for {
 		rd := n.core.Ready()
@@ -275,7 +279,7 @@
 		n.send(rd.Messages)
 		n.apply(rd.Committed)
 		n.confirm(rd.Reads)
-		n.dropLost()
+		n.failPending()
 		if len(rd.Entries) == 0 && len(rd.Committed) == 0 && rd.Snapshot == nil {
 			n.maybeCompact()
 			return nil
@@ -295,37 +299,37 @@
 	for id, list := range byPeer {
 		r, ok := cfg.Find(id)
 		if !ok {
-			// A replica that is just joining knows no configuration yet; it
-			// must still answer the leader that brings it.
-			r = n.known[id]
+			// A replica that is just joining has no configuration yet, but must respond to
+			// the leader that adds it.
+			r = n.senders[id]
 		}
 		n.opts.Sender.Send(r, list)
 	}
 }
 
-// persist saves what a Ready asks for. On a disk without room it waits for some:
-// ending the process would not make any, and what was promised is on the disk. It
-// leads nobody meanwhile, so the others elect another leader.
+// persist saves what a Ready contains. On a full disk it waits for free space: ending the process
+// would not free any, and everything acknowledged is already on disk. Meanwhile it does not act as
+// leader, so the others elect another one.
 func (n *Node) persist(rd Ready) error {
 	for {
 		err := n.persistOnce(rd)
-		if !errors.Is(err, ErrDiskFull) || !n.awaitRoom() {
+		if !errors.Is(err, ErrDiskFull) || !n.waitForSpace() {
 			return err
 		}
 	}
 }
 
-// roomPause separates tries to save on a disk without room.
-const roomPause = 100 * time.Millisecond
+// diskRetryInterval is the pause between attempts to save on a full disk.
+const diskRetryInterval = 100 * time.Millisecond
 
-// awaitRoom pauses, and reports whether the node is to go on.
-func (n *Node) awaitRoom() bool {
-	n.fullSeen = true
+// waitForSpace pauses and reports whether to try again.
+func (n *Node) waitForSpace() bool {
+	n.diskFull = true
 	n.view.Store(&View{Role: Follower, Term: n.core.term, Config: n.core.log.config().config})
 	select {
-	case <-n.ending:
+	case <-n.runDone:
 		return false
-	case <-time.After(roomPause):
+	case <-time.After(diskRetryInterval):
 		return true
 	}
 }
@@ -352,7 +356,7 @@
 }
 
 func (n *Node) installSnapshot(rd Ready) error {
-	n.endEncoding() // what it encodes is behind the leader's snapshot
+	n.discardEncoding() // its state is older than the leader's snapshot
 	if err := n.opts.Disk.SaveSnapshot(*rd.Snapshot, n.hardState(), rd.Entries); err != nil {
 		return err
 	}
@@ -374,16 +378,16 @@
 			result = n.opts.Machine.Apply(e.Index, e.Data)
 		}
 		n.applied = e.Index
-		p, ok := n.waiting[e.Index]
+		p, ok := n.pendingProposals[e.Index]
 		if !ok {
 			continue
 		}
-		delete(n.waiting, e.Index)
+		delete(n.pendingProposals, e.Index)
 		if p.term != e.Term {
 			p.done <- outcome{err: ErrUnknown}
 			continue
 		}
-		commitSeconds.UpdateDuration(p.at)
+		commitSeconds.UpdateDuration(p.submitted)
 		p.done <- outcome{result: result}
 	}
 	n.releaseReads()
@@ -391,50 +395,50 @@
 
 func (n *Node) confirm(reads []Read) {
 	for _, r := range reads {
-		n.pending = append(n.pending, pendingApply{r.Index, n.readers[r.ID]})
-		delete(n.readers, r.ID)
+		n.confirmedReads = append(n.confirmedReads, confirmedRead{r.Index, n.unconfirmedReads[r.ID]})
+		delete(n.unconfirmedReads, r.ID)
 	}
 	n.releaseReads()
 }
 
 func (n *Node) releaseReads() {
-	rest := n.pending[:0]
-	for _, p := range n.pending {
+	unapplied := n.confirmedReads[:0]
+	for _, p := range n.confirmedReads {
 		if p.index > n.applied {
-			rest = append(rest, p)
+			unapplied = append(unapplied, p)
 			continue
 		}
 		for _, done := range p.done {
 			done <- outcome{}
 		}
 	}
-	n.pending = rest
+	n.confirmedReads = unapplied
 }
 
-// dropLost answers those who wait on a leadership that has ended. Without it
-// an isolated leader's callers would wait until their own timeouts.
-func (n *Node) dropLost() {
+// failPending answers callers that wait on a leadership that has ended. Without it the callers of
+// an isolated leader would wait until their own timeouts.
+func (n *Node) failPending() {
 	if n.core.role == Leader {
 		return
 	}
-	for index, p := range n.waiting {
+	for index, p := range n.pendingProposals {
 		p.done <- outcome{err: ErrUnknown}
-		delete(n.waiting, index)
+		delete(n.pendingProposals, index)
 	}
-	for id, list := range n.readers {
+	for id, list := range n.unconfirmedReads {
 		for _, done := range list {
 			done <- outcome{err: ErrNotLeader}
 		}
-		delete(n.readers, id)
+		delete(n.unconfirmedReads, id)
 	}
 }
 
-// maybeCompact begins a snapshot once enough was applied since the last.
+// maybeCompact starts a snapshot once SnapshotEntries were applied since the last one.
 func (n *Node) maybeCompact() {
-	if n.core.held || n.applied < n.core.log.snap.Index+n.opts.SnapshotEntries || n.fullSeen {
+	if n.core.applyPaused || n.applied < n.core.log.snap.Index+n.opts.SnapshotEntries || n.diskFull {
 		return
 	}
-	n.core.held = true
+	n.core.applyPaused = true
 	s := encodedSnapshot{Snapshot: n.core.SnapshotAt(n.applied)}
 	go func() {
 		defer snapshotSeconds.UpdateDuration(time.Now())
@@ -443,9 +447,9 @@
 	}()
 }
 
-// takeSnapshot replaces the log by a snapshot.
-func (n *Node) takeSnapshot(s encodedSnapshot) error {
-	n.core.held = false
+// finishSnapshot replaces the applied part of the log with an encoded snapshot.
+func (n *Node) finishSnapshot(s encodedSnapshot) error {
+	n.core.applyPaused = false
 	if s.err != nil {
 		return Error.Wrap(s.err)
 	}
@@ -453,27 +457,27 @@
 	n.core.Compact(s.Snapshot)
 	err := n.opts.Disk.SaveSnapshot(s.Snapshot, n.hardState(), n.core.log.after(s.Index))
 	if errors.Is(err, ErrDiskFull) {
-		// The old log is still there and in use; the next snapshot replaces it.
-		n.fullSeen = true
+		// The old log is still present and in use; the next snapshot replaces it.
+		n.diskFull = true
 		return nil
 	}
 	return err
 }
 
-// endEncoding waits for a snapshot that is being encoded, and drops it.
-func (n *Node) endEncoding() {
-	if n.core.held {
+// discardEncoding waits for a snapshot that is being encoded and discards it.
+func (n *Node) discardEncoding() {
+	if n.core.applyPaused {
 		<-n.encoded
-		n.core.held = false
+		n.core.applyPaused = false
 	}
 }
 
 func (n *Node) failAll() {
 	close(n.stopped)
-	for _, p := range n.waiting {
+	for _, p := range n.pendingProposals {
 		p.done <- outcome{err: ErrUnknown}
 	}
-	for _, list := range n.readers {
+	for _, list := range n.unconfirmedReads {
 		for _, done := range list {
 			done <- outcome{err: ErrStopped}
 		}
--- a/quorum/node_bench_test.go
+++ b/quorum/node_bench_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// counter is the smallest state machine: it counts commands.
+// counter is a minimal state machine that counts commands.
 type counter struct {
 	mu sync.Mutex
 	n  int
@@ -30,12 +30,12 @@
 	self  map[uint64]Replica
 }
 
-type busEnd struct {
+type busSender struct {
 	bus  *bus
 	from uint64
 }
 
-func (e busEnd) Send(to Replica, msgs []Message) {
+func (e busSender) Send(to Replica, msgs []Message) {
 	e.bus.mu.Lock()
 	n, from := e.bus.nodes[to.ID], e.bus.self[e.from]
 	e.bus.mu.Unlock()
@@ -49,8 +49,8 @@
 	return startNodesOf(tb, n, 1<<30, func(int) StateMachine { return &counter{} })
 }
 
-// startNodesOf is the same with a state machine for each, of which a snapshot is taken after so
-// many entries.
+// startNodesOf is startNodes with a state machine for each node and a snapshot after
+// snapshotEntries applied entries.
 func startNodesOf(tb testing.TB, n int, snapshotEntries uint64, machine func(i int) StateMachine) (*bus, []*Node) {
 	tb.Helper()
 	b := &bus{nodes: make(map[uint64]*Node), self: make(map[uint64]Replica)}
@@ -63,7 +63,7 @@
 			tb.Fatal(err)
 		}
 		id := disk.Stored().ID
-		node, err := NewNode(Options{Disk: disk, Machine: machine(i), Sender: busEnd{b, id}, TickEvery: 10 * time.Millisecond, SnapshotEntries: snapshotEntries, Seed: int64(i)})
+		node, err := NewNode(Options{Disk: disk, Machine: machine(i), Sender: busSender{b, id}, TickEvery: 10 * time.Millisecond, SnapshotEntries: snapshotEntries, Seed: int64(i)})
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -94,7 +94,8 @@
 	return b, nodes
 }
 
-// Commits by 64 callers at a time. The bound is a bare write and sync.
+// BenchmarkCommit measures commits by 64 concurrent callers on a machine of 8 CPUs. The lower bound
+// is BenchmarkBareSync.
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint("replicas=", n), func(b *testing.B) {
@@ -131,7 +132,7 @@
 	}
 }
 
-// A write of one record and a sync, one after the other: the disk's own bound.
+// BenchmarkBareSync measures sequential writes of one record with a sync each: the disk's own limit.
 func BenchmarkBareSync(b *testing.B) {
 	f, err := os.Create(filepath.Join(b.TempDir(), "f"))
 	if err != nil {
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// loneNode is a cluster of one with a real disk.
-func loneNode(t *testing.T) (*Node, *Disk, chan error) {
+// singleNode runs a cluster of one replica with a real disk.
+func singleNode(t *testing.T) (*Node, *Disk, chan error) {
 	t.Helper()
 	disk, err := OpenDisk(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := NewNode(Options{Disk: disk, Machine: &counter{}, Sender: busEnd{&bus{}, 0}, TickEvery: 5 * time.Millisecond, SnapshotEntries: 1 << 30})
+	n, err := NewNode(Options{Disk: disk, Machine: &counter{}, Sender: busSender{&bus{}, 0}, TickEvery: 5 * time.Millisecond, SnapshotEntries: 1 << 30})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +34,10 @@
 	return n, disk, ended
 }
 
-// A write to the disk fails. The replica ends at once and says why; the caller of
-// the change is told that the outcome is unknown. Going on would acknowledge
-// changes that the next restart has forgotten.
+// A write to the disk fails. The replica must end with an error, and the caller is told that the
+// outcome is unknown. Continuing would acknowledge changes that are lost at the next restart.
 func TestFailingDiskEndsTheReplica(t *testing.T) {
-	n, disk, ended := loneNode(t)
+	n, disk, ended := singleNode(t)
 	if _, err := n.Propose(context.Background(), []byte("kept")); err != nil {
 		t.Fatal(err)
 	}
@@ -54,42 +53,42 @@
 	}
 }
 
-// The disk is nearly full. Changes are refused with the remedy; reads go on; when
-// there is room again, so do changes.
+// The disk is nearly full. Changes are refused with an error that names the remedy, reads continue,
+// and changes are accepted again once there is space.
 func TestFullDiskRefusesChangesOnly(t *testing.T) {
-	n, _, _ := loneNode(t)
+	n, _, _ := singleNode(t)
 	ctx := context.Background()
-	n.call(ctx, func() { n.fullSeen = true; n.core.now = 1 })
+	n.call(ctx, func() { n.diskFull = true; n.core.now = 1 })
 	if _, err := n.Propose(ctx, []byte("x")); !errors.Is(err, ErrDiskFull) {
 		t.Fatalf("on a full disk: %v", err)
 	}
 	if err := n.Barrier(ctx); err != nil {
 		t.Fatalf("a read on a full disk: %v", err)
 	}
-	for range 400 { // the room is looked up again every few ticks
+	for range 400 { // the free space is checked again every few ticks
 		if _, err := n.Propose(ctx, []byte("x")); err == nil {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("changes are refused for ever")
+	t.Fatal("changes are still refused although the disk has space")
 }
 
-// The disk takes no more bytes, and a write is torn. A replica that ends over it is
-// started again, and ends again, as long as there is no room. It must wait instead,
-// lead nobody meanwhile, and go on with a log that has no torn record in it.
-func TestDiskWithoutRoomIsWaitedFor(t *testing.T) {
-	n, disk, ended := loneNode(t)
+// The disk accepts no more bytes, and a write is incomplete. A replica that ends because of this is
+// restarted and ends again as long as there is no space. It must wait instead, not act as leader
+// meanwhile, and continue with a log that contains no incomplete record.
+func TestReplicaWaitsForDiskSpace(t *testing.T) {
+	n, disk, ended := singleNode(t)
 	ctx := context.Background()
 	if _, err := n.Propose(ctx, []byte("kept")); err != nil {
 		t.Fatal(err)
 	}
 	refused := make(chan struct{}, 1000)
-	room := make(chan struct{})
+	spaceFreed := make(chan struct{})
 	n.call(ctx, func() {
 		disk.write = func(f *os.File, b []byte) (int, error) {
 			select {
-			case <-room:
+			case <-spaceFreed:
 				return f.Write(b)
 			default:
 			}
@@ -106,9 +105,9 @@
 	<-refused
 	<-refused // tried again, so the view was published
 	if v := n.View(); v.Role == Leader {
-		t.Error("a replica that can't save leads")
+		t.Error("a replica that cannot save acts as leader")
 	}
-	close(room)
+	close(spaceFreed)
 	if err := <-done; err != nil {
 		t.Errorf("the change that waited: %v", err)
 	}
@@ -124,25 +123,25 @@
 	for len(b) > 0 {
 		_, size := parseRecord(b)
 		if size == 0 {
-			t.Fatalf("%d bytes at the end of the log are no record", len(b))
+			t.Fatalf("%d bytes at the end of the log are not a valid record", len(b))
 		}
 		b = b[size:]
 	}
 }
 
-// slowSnapshot is a state machine whose first snapshot is encoded for as long as its test wants,
-// and which tells whether something was applied meanwhile.
+// slowSnapshot is a state machine whose first snapshot is encoded until the test resumes it. It
+// records whether a command was applied meanwhile.
 type slowSnapshot struct {
 	counter
-	first         sync.Once
-	begun, resume chan struct{}
-	encoding      atomic.Bool
-	disturbed     atomic.Bool
+	first                sync.Once
+	begun, resume        chan struct{}
+	encoding             atomic.Bool
+	appliedWhileEncoding atomic.Bool
 }
 
 func (s *slowSnapshot) Apply(index uint64, command []byte) any {
 	if s.encoding.Load() {
-		s.disturbed.Store(true)
+		s.appliedWhileEncoding.Store(true)
 	}
 	return s.counter.Apply(index, command)
 }
@@ -157,9 +156,9 @@
 	return []byte{1}, nil
 }
 
-// The state of a large fleet takes as long to encode as followers wait for a word of their leader.
-// A leader that is silent meanwhile is replaced with each snapshot that it takes.
-func TestLeaderThatEncodesItsStateKeepsInTouch(t *testing.T) {
+// Encoding the state of a large fleet takes as long as the election timeout. A leader that sends no
+// heartbeats meanwhile is replaced each time it takes a snapshot.
+func TestLeaderSendsHeartbeatsWhileItEncodesItsState(t *testing.T) {
 	synctest.Test(t, leaderThatEncodes)
 }
 
@@ -195,7 +194,7 @@
 	time.Sleep(4 * ElectionTicks * nodes[0].opts.TickEvery)
 	for _, n := range nodes[1:] {
 		if st, err := n.Status(ctx); err != nil || st.Term != before.Term || st.Leader != before.ID {
-			t.Fatalf("beside the encoding the leader's place is given to %d in term %d, from %d in %d (%v)", st.Leader, st.Term, before.ID, before.Term, err)
+			t.Fatalf("during the encoding the leader became %d in term %d, was %d in term %d (%v)", st.Leader, st.Term, before.ID, before.Term, err)
 		}
 	}
 	resume()
@@ -205,7 +204,7 @@
 	if failed.Load() > 0 || machine.n != 200 {
 		t.Errorf("%d changes failed, %d were applied, want 200", failed.Load(), machine.n)
 	}
-	if machine.disturbed.Load() {
-		t.Error("something was applied to the state while it was encoded")
+	if machine.appliedWhileEncoding.Load() {
+		t.Error("a command was applied to the state while it was being encoded")
 	}
 }
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -1,50 +1,45 @@
 package quorum
 
-// Bounds of what a leader has under way to one replica.
+// Limits on what a leader has in flight to one replica.
 const (
-	// windowBytes bounds the entries that were sent and not acknowledged: 40 ms of a
-	// link of 200 Mbit/s, several round trips between regions. Without it a
-	// replica that comes back is sent everything it lacks at once, and what is
-	// cut off on the way is sent again from the start.
+	// windowBytes limits the entries that were sent and not acknowledged: 40 ms of a link of
+	// 200 Mbit/s, several round trips between regions. Without the limit a returning replica is
+	// sent everything it lacks in one burst, and whatever is lost on the way is resent from the start.
 	windowBytes = 1 << 20
-	// resendTicks is how long a replica that is in contact may leave something
-	// unacknowledged before it is sent again: two election timeouts, longer than a
-	// window takes on a link of 10 Mbit/s. Whoever carries the messages mostly
-	// reports a loss sooner.
+	// resendTicks is how long a replica in contact may leave a message unacknowledged before it
+	// is sent again: two election timeouts, longer than a window takes on a link of 10 Mbit/s.
+	// Usually the transport reports a loss sooner.
 	resendTicks = 2 * ElectionTicks
-	// pinnedBytes bounds the entries that stay in memory for a replica that is being
-	// sent a snapshot, beyond those that stay anyway.
+	// pinnedBytes limits the entries that stay in memory for a replica that is being sent a
+	// snapshot, in addition to the retained ones.
 	pinnedBytes = 16 << 20
 )
 
-// progress is what a leader knows of one replica. A replica is in one of three
-// states: it is sent entries within a window; it is sent a snapshot, a part at a
-// time; or it is probed, which means that the place from which to send is not known
-// and nothing but empty appends is sent.
+// progress is a leader's replication state for one replica. A replica is in one of three states:
+// it is sent entries within a window; it is sent a snapshot in parts; or it is probed, which means
+// that the index to send from is unknown and only empty appends are sent.
 type progress struct {
-	match       uint64 // highest index known to be on the replica's disk
-	next        uint64 // next index to send
-	round       uint64 // highest contact round echoed
-	lastContact uint64 // tick of the last answer in this term
-	asked       uint64 // tick at which it last asked to be let in
-	// probe is set after a rejected or lost append until the replica accepts one.
-	// A replica that was frozen answers everything that piled up with a rejection
-	// each, and the whole tail of the log sent again for each took a leader over
-	// 200 MB.
+	match           uint64 // highest index known to be on the replica's disk
+	next            uint64 // next index to send
+	round           uint64 // highest heartbeat round echoed
+	lastContact     uint64 // tick of the last response in this term
+	lastJoinRequest uint64 // tick of its last join request
+	// probe is set after a rejected or lost append until the replica accepts one. A replica that
+	// was frozen rejects each queued append; resending the whole log tail for each rejection took
+	// a leader over 200 MB.
 	probe bool
-	// snapshot is what the replica is being sent, nil for nothing, and offset how
-	// many of its bytes were acknowledged. One part is under way at a time: if
-	// every contact sent one, and every answer the next, they would multiply until
-	// no call ends in time.
+	// snapshot is the snapshot being sent, nil for none, and offset the number of its bytes that
+	// were acknowledged. Only one part is in flight at a time: if every heartbeat sent a part and
+	// every response the next one, they would multiply until no request completes in time.
 	snapshot *Snapshot
 	offset   int
 	window   []inFlight
-	// since is the tick of the last acknowledgement, or of the first message
-	// under way if that is later.
-	since uint64
+	// waitingSince is the tick of the last acknowledgement, or of the first message in the window
+	// if that is later.
+	waitingSince uint64
 }
 
-// inFlight is an append, or a part of a snapshot, that was sent and not answered.
+// inFlight is an append or a part of a snapshot that was sent and not acknowledged.
 type inFlight struct {
 	last  uint64 // index of the append's last entry
 	bytes int
@@ -60,14 +55,14 @@
 
 func (p *progress) sent(now, last uint64, bytes int) {
 	if len(p.window) == 0 {
-		p.since = now
+		p.waitingSince = now
 	}
 	p.window = append(p.window, inFlight{last, bytes})
 }
 
-// acknowledged forgets what is under way up to an index.
+// acknowledged removes messages up to an index from the window.
 func (p *progress) acknowledged(now, index uint64) {
-	p.since = now
+	p.waitingSince = now
 	i := 0
 	for i < len(p.window) && p.window[i].last <= index {
 		i++
@@ -75,8 +70,8 @@
 	p.window = p.window[i:]
 }
 
-// rewind forgets what is under way: it is sent again from the last acknowledged
-// entry or byte, once the replica answers.
+// rewind clears the window. Sending resumes after the last acknowledged entry or byte once the
+// replica responds.
 func (p *progress) rewind() {
 	p.window = nil
 	if p.snapshot == nil {
@@ -87,29 +82,29 @@
 	}
 }
 
-// Unreachable tells a leader that something sent to a replica may not have arrived.
+// Unreachable reports to a leader that a message to a replica may have been lost.
 func (c *Core) Unreachable(id uint64) {
 	if p := c.peers[id]; c.role == Leader && p != nil && len(p.window) > 0 {
 		p.rewind()
 	}
 }
 
-// resendLost rewinds the replicas that are in contact and yet acknowledge nothing.
+// resendLost rewinds the replicas that are in contact but acknowledge nothing.
 func (c *Core) resendLost() {
 	for _, p := range c.peers {
-		if len(p.window) > 0 && p.since+resendTicks < c.now && p.lastContact+ElectionTicks >= c.now {
+		if len(p.window) > 0 && p.waitingSince+resendTicks < c.now && p.lastContact+ElectionTicks >= c.now {
 			p.rewind()
 		}
 	}
 }
 
-func (c *Core) onFollowerAnswer(m Message) {
+func (c *Core) onFollowerResponse(m Message) {
 	p := c.peers[m.From]
 	if c.role != Leader || p == nil {
 		return
 	}
 	if p.lastContact+ElectionTicks < c.now {
-		p.rewind() // what it was sent while it was away is lost
+		p.rewind() // what it was sent while out of contact is lost
 	}
 	p.lastContact = c.now
 	p.round = max(p.round, m.Round)
@@ -123,11 +118,11 @@
 	default:
 		c.onAck(m, p)
 	}
-	c.answerReads()
+	c.confirmReads()
 }
 
-// onHeartbeatResponse goes on with a replica that nothing is under way to: what was
-// sent last got lost, or it has just come back.
+// onHeartbeatResponse resumes sending to a replica with nothing in flight: the last message was
+// lost, or the replica has just returned.
 func (c *Core) onHeartbeatResponse(m Message, p *progress) {
 	if len(p.window) > 0 {
 		return
@@ -142,7 +137,7 @@
 
 func (c *Core) onReject(m Message, p *progress) {
 	if p.snapshot != nil || (p.probe && m.Prev != p.next-1) {
-		return // answers an append from before the snapshot, or the last rejection
+		return // responds to an append from before the snapshot or the last rejection
 	}
 	p.next = max(p.match, min(m.Index, p.next-1)) + 1
 	p.probe, p.window = true, nil
@@ -151,7 +146,7 @@
 
 func (c *Core) onChunkResponse(m Message, p *progress) {
 	if p.snapshot == nil || m.Chunk == nil || m.Chunk.Index != p.snapshot.Index || m.Chunk.Offset == p.offset {
-		return // a copy of an answer that was acted on
+		return // duplicate of a response that was already handled
 	}
 	p.offset = min(m.Chunk.Offset, len(p.snapshot.Data))
 	p.window = nil
@@ -176,20 +171,20 @@
 	}
 }
 
-// contact tells to whom a broadcast sends a heartbeat.
-type contact int
+// heartbeatScope selects the replicas to which a broadcast sends a heartbeat.
+type heartbeatScope int
 
 const (
-	nobody contact = iota
-	// voters confirm a read: only they count for it, and there are many reads a second.
-	voters
-	everybody
+	noHeartbeat heartbeatScope = iota
+	// heartbeatVoters confirms reads: only voters count for it, and reads are frequent.
+	heartbeatVoters
+	heartbeatAll
 )
 
-// broadcast sends every replica what it lacks, within its window. With a heartbeat to
-// anybody it opens a new contact round.
-func (c *Core) broadcast(to contact) {
-	if to != nobody {
+// broadcast sends each replica the entries it lacks, within its window. If it also sends
+// heartbeats, it starts a new heartbeat round.
+func (c *Core) broadcast(to heartbeatScope) {
+	if to != noHeartbeat {
 		c.round++
 	}
 	cfg := c.log.config().config
@@ -198,7 +193,7 @@
 			continue
 		}
 		p := c.peers[r.ID]
-		if to == everybody || (to == voters && cfg.IsVoter(r.ID)) {
+		if to == heartbeatAll || (to == heartbeatVoters && cfg.IsVoter(r.ID)) {
 			c.sendHeartbeat(r.ID, p)
 		}
 		for p.snapshot == nil && !p.probe && p.next <= c.log.last() && p.bytesInFlight() < windowBytes {
@@ -209,20 +204,20 @@
 
 func (c *Core) sendHeartbeat(id uint64, p *progress) {
 	c.early = append(c.early, Message{Kind: MsgHeartbeat, From: c.id, To: id, Term: c.term,
-		Commit: min(p.match, c.log.committed), Index: c.everCommitted(), Round: c.round})
+		Commit: min(p.match, c.log.committed), Index: c.clusterCommit(), Round: c.round})
 }
 
-// everCommitted is how far the log was committed by any leader, 0 while that isn't known:
-// before an entry of its own term is committed, an earlier leader may have come further.
-func (c *Core) everCommitted() uint64 {
+// clusterCommit returns the highest index committed by any leader, or 0 while that is unknown:
+// until an entry of this term is committed, an earlier leader may have committed more.
+func (c *Core) clusterCommit() uint64 {
 	if t, _ := c.log.term(c.log.committed); t != c.term {
 		return 0
 	}
 	return c.log.committed
 }
 
-// sendAppend sends the next entries, or none to a replica that is probed. A replica
-// that lacks what is no longer in memory is sent the snapshot.
+// sendAppend sends the next entries, or an empty append to a probed replica. A replica that lacks
+// entries no longer in memory is sent the snapshot.
 func (c *Core) sendAppend(id uint64, p *progress) {
 	prevTerm, ok := c.log.term(p.next - 1)
 	if !ok {
@@ -246,20 +241,19 @@
 // sendChunk sends the next part of the snapshot.
 func (c *Core) sendChunk(id uint64, p *progress) {
 	s := p.snapshot
-	end := min(p.offset+c.chunk, len(s.Data))
+	end := min(p.offset+c.chunkSize, len(s.Data))
 	c.early = append(c.early, Message{Kind: MsgChunk, From: c.id, To: id, Term: c.term, Round: c.round,
 		Chunk: &Chunk{Index: s.Index, Term: s.Term, Config: s.Config, Offset: p.offset, Size: len(s.Data), Data: s.Data[p.offset:end]}})
 	p.sent(c.now, s.Index, end-p.offset)
 }
 
-// neededFrom returns the index from which on the log must stay in memory: the
-// snapshot that a replica in contact is being sent is of no use without the entries
-// behind it. With a snapshot that takes longer than the leader takes to make the next
-// one the replica would never catch up.
+// neededFrom returns the index after which the log must stay in memory. A snapshot being sent is
+// useless without the entries that follow it: if sending it takes longer than the interval between
+// the leader's snapshots, the replica would never catch up.
 func (c *Core) neededFrom() uint64 {
 	from := c.log.last()
 	for _, p := range c.peers {
-		if p.snapshot != nil && p.lastContact+SilentTicks >= c.now {
+		if p.snapshot != nil && p.lastContact+UnresponsiveTicks >= c.now {
 			from = min(from, p.snapshot.Index)
 		}
 	}
--- a/quorum/replicaset_test.go
+++ b/quorum/replicaset_test.go
@@ -9,56 +9,55 @@
 
 var setRuns = flag.Int("sets", 300, "seeds of the property test of the replica set")
 
-// Times of the property test, in ticks of 30 ms.
+// Durations of the property test, in ticks of 30 ms.
 const (
-	faultTicks = 1500 // how long things go wrong
-	// catchUpTicks is the time that a replica has to be whole again, 6 s, and
-	// recoverTicks the time from the last fault until everything must be, 15 s.
+	faultTicks = 1500 // duration of the fault injection
+	// catchUpTicks is the time that a replica has to catch up, 6 s, and recoverTicks the time from
+	// the last fault until the set must be complete, 15 s.
 	catchUpTicks = 200
 	recoverTicks = 500
-	// leaderTicks is how long a group that bears its losses may be without a leader:
-	// two elections that are split.
+	// leaderTicks is how long a group within its tolerated losses may have no leader: two split
+	// elections.
 	leaderTicks = 6 * ElectionTicks
-	// slowBytes is what a slow link carries of bulk in a tick: a snapshot takes a
-	// second or two.
+	// slowBytes is the bulk data that a slow link carries per tick: a snapshot takes one or two
+	// seconds.
 	slowBytes = 400
 )
 
-// host is where a replica runs, by its number: a wiped disk changes the identity, not
-// the host.
+// host is the machine of a replica. A wiped disk changes the replica's identity, not the host.
 type host struct {
 	replica *fakeReplica
 	downFor int // ticks until it starts again
-	frozen  int // ticks until it wakes
-	// missing is set from the loss of its disk until the time to catch up has passed
-	// without another disturbance.
-	missing bool
+	frozen  int // ticks until it resumes
+	// recovering is set from the loss of its disk until the time to catch up has passed without
+	// another fault.
+	recovering bool
 }
 
-// replicaSet is a group in virtual time to which everything happens that it must bear:
-// restarts of any number, cuts one way and both, slow links, frozen hosts, hand-overs,
-// and lost disks, as many at once as must be borne, the next ones only once these had
-// their time to catch up.
+// replicaSet is a group in virtual time that is exposed to all faults that it must tolerate: restarts
+// of any number of hosts, cuts in one or both directions, slow links, frozen hosts, leadership
+// transfers and lost disks. At most the tolerated number of disks is lost at once, and the next only
+// after the previous ones had their time to catch up.
 type replicaSet struct {
 	*network
-	hosts []*host
-	cuts  map[[2]int]int // ticks that a link stays cut
-	slow  map[[2]int]int // ticks that a link stays slow
-	bulk  map[[2]int][]Message
-	every int // ticks between two disturbances, on average
-	rest  int // ticks without another disturbance
-	calm  int // ticks since the lost disks are back with no more lost than is borne
-	lead  int // ticks that the group bears its losses without a leader
+	hosts           []*host
+	cuts            map[[2]int]int // remaining ticks of the cut of a link
+	slow            map[[2]int]int // remaining ticks for which a link is slow
+	bulk            map[[2]int][]Message
+	faultInterval   int // average ticks between two faults
+	faultPause      int // ticks without another fault
+	stableTicks     int // ticks since all wiped hosts are running again with losses within the tolerance
+	leaderlessTicks int // ticks without a leader while the losses are within the tolerance
 }
 
 func newReplicaSet(n, spares int, seed int64) *replicaSet {
-	w := newTunedNetwork(n+spares, seed, func(c *Core) { c.chunk, c.log.retain = 400, 30 })
-	w.spares, w.centres = spares, n
-	w.quiet = true
+	w := newTunedNetwork(n+spares, seed, func(c *Core) { c.chunkSize, c.log.retain = 400, 30 })
+	w.spares, w.dataCentres = spares, n
+	w.noLog = true
 	w.log.Reset()
 	w.settle(200)
 	s := &replicaSet{network: w, cuts: make(map[[2]int]int), slow: make(map[[2]int]int), bulk: make(map[[2]int][]Message),
-		every: 8 + w.rng.Intn(60)}
+		faultInterval: 8 + w.rng.Intn(60)}
 	for _, r := range w.replicas {
 		s.hosts = append(s.hosts, &host{replica: r})
 	}
@@ -74,12 +73,12 @@
 	return -1
 }
 
-// lost counts the hosts that are away, whose disk was lost and that may still be
-// catching up, or that have a link that is cut or slow.
+// lost counts the hosts that are down or frozen, that lost their disk and may still be catching up,
+// or that have a cut or slow link.
 func (s *replicaSet) lost() int {
 	lost := make(map[int]bool)
 	for i, h := range s.hosts {
-		if h.downFor > 0 || h.frozen > 0 || h.missing {
+		if h.downFor > 0 || h.frozen > 0 || h.recovering {
 			lost[i] = true
 		}
 	}
@@ -94,26 +93,26 @@
 	return len(lost)
 }
 
-func (s *replicaSet) missing() int {
+func (s *replicaSet) recoveringHosts() int {
 	n := 0
 	for _, h := range s.hosts {
-		if h.missing {
+		if h.recovering {
 			n++
 		}
 	}
 	return n
 }
 
-// disturb draws what goes wrong next.
-func (s *replicaSet) disturb() {
-	if s.rest--; s.rest > 0 || s.rng.Intn(s.every) > 0 {
+// injectFault draws the next fault.
+func (s *replicaSet) injectFault() {
+	if s.faultPause--; s.faultPause > 0 || s.rng.Intn(s.faultInterval) > 0 {
 		return
 	}
 	i, j := s.rng.Intn(len(s.hosts)), s.rng.Intn(len(s.hosts))
 	length := 5 + s.rng.Intn(150)
 	switch s.rng.Intn(11) {
 	case 0, 1, 9, 10:
-		s.loseDisks(1 + s.rng.Intn(s.bear()))
+		s.loseDisks(1 + s.rng.Intn(s.tolerance()))
 	case 2:
 		s.shutDown(i, length)
 	case 3:
@@ -144,29 +143,29 @@
 	h.downFor, h.frozen = max(h.downFor, length), 0
 }
 
-// loseDisks wipes hosts, if the group must bear that.
+// loseDisks wipes hosts if the group must tolerate that.
 func (s *replicaSet) loseDisks(count int) {
-	if s.missing() > 0 || s.lost()+count > s.bear() {
+	if s.recoveringHosts() > 0 || s.lost()+count > s.tolerance() {
 		return
 	}
 	for ; count > 0; count-- {
 		i := s.rng.Intn(len(s.hosts))
 		h := s.hosts[i]
-		if h.missing || h.downFor > 0 || h.frozen > 0 {
+		if h.recovering || h.downFor > 0 || h.frozen > 0 {
 			continue
 		}
 		s.shutDown(i, 1+s.rng.Intn(60))
 		s.wipe(h.replica)
-		h.missing = true
+		h.recovering = true
 	}
-	s.calm = 0
+	s.stableTicks = 0
 	if s.rng.Intn(2) == 0 {
-		s.rest = s.rng.Intn(2 * catchUpTicks) // and another loss soon after
+		s.faultPause = s.rng.Intn(2 * catchUpTicks) // and another loss soon after
 	}
 }
 
-// pass lets a tick's time go by for whatever has an end.
-func (s *replicaSet) pass() {
+// advanceFaults advances all faults of limited duration by one tick.
+func (s *replicaSet) advanceFaults() {
 	for _, m := range []map[[2]int]int{s.cuts, s.slow} {
 		for link := range m {
 			if m[link]--; m[link] <= 0 {
@@ -187,31 +186,31 @@
 			}
 		}
 	}
-	s.noteCalm()
+	s.updateRecovery()
 }
 
-// noteCalm ends the time of the lost disks once they are back for long enough, with
-// never more lost than is borne.
-func (s *replicaSet) noteCalm() {
-	s.calm++
+// updateRecovery ends the recovery of the wiped hosts once they have been running for catchUpTicks,
+// with the losses always within the tolerance.
+func (s *replicaSet) updateRecovery() {
+	s.stableTicks++
 	for _, h := range s.hosts {
-		if h.missing && h.downFor > 0 {
-			s.calm = 0
+		if h.recovering && h.downFor > 0 {
+			s.stableTicks = 0
 		}
 	}
-	if s.lost() > s.bear() {
-		s.calm = 0
+	if s.lost() > s.tolerance() {
+		s.stableTicks = 0
 	}
-	if s.calm < catchUpTicks {
+	if s.stableTicks < catchUpTicks {
 		return
 	}
 	for _, h := range s.hosts {
-		h.missing = false
+		h.recovering = false
 	}
 }
 
-// exchange delivers what can arrive within a tick.
-func (s *replicaSet) exchange() {
+// deliverMessages delivers what can arrive within a tick.
+func (s *replicaSet) deliverMessages() {
 	const rounds = 6
 	for range rounds {
 		batch := s.inFlight
@@ -223,38 +222,38 @@
 			case s.slow[link] > 0 && m.PayloadBytes() > 0:
 				s.bulk[link] = append(s.bulk[link], m)
 			default:
-				s.hand(m)
+				s.deliverMessage(m)
 			}
 		}
 	}
 	for i := range s.hosts {
 		for j := range s.hosts {
-			s.carryBulk([2]int{i, j})
+			s.transmitBulk([2]int{i, j})
 		}
 	}
 }
 
-func (s *replicaSet) carryBulk(link [2]int) {
+func (s *replicaSet) transmitBulk(link [2]int) {
 	queue := s.bulk[link]
 	for budget := slowBytes; len(queue) > 0 && (budget > 0 || s.slow[link] == 0); queue = queue[1:] {
 		budget -= messageBytes(queue[0])
 		if s.cuts[link] == 0 {
-			s.hand(queue[0])
+			s.deliverMessage(queue[0])
 		}
 	}
 	s.bulk[link] = queue
 }
 
-func (s *replicaSet) hand(m Message) {
+func (s *replicaSet) deliverMessage(m Message) {
 	if r := s.byID(m.To); r != nil && !r.frozen {
 		r.core.Step(m)
 		s.process(r)
 	}
 }
 
-// ask lets replicas that hear no leader, or belong to no set, ask the leader in, as
-// the shell does twice a second.
-func (s *replicaSet) ask() {
+// requestJoins sends the leader join requests of replicas that have no leader or belong to no set,
+// about twice a second like the control process.
+func (s *replicaSet) requestJoins() {
 	l := s.leader()
 	for i, h := range s.hosts {
 		r := h.replica
@@ -269,77 +268,77 @@
 		_, member := cfg.Find(r.disk.id)
 		switch {
 		case !member:
-			if l.core.ProposeConfig(cfg.Joined(s.introduction(r))) == nil {
+			if l.core.ProposeConfig(cfg.Joined(s.replicaInfo(r))) == nil {
 				s.process(l)
 			}
-		case !r.core.leaderFresh():
-			l.core.Asked(r.disk.id)
+		case !r.core.hasRecentLeader():
+			l.core.RecordJoinRequest(r.disk.id)
 		}
 	}
 }
 
-// mend takes the leader's next step of the repair, and checks that as many losses as
-// before are borne with it, by the identities that are really there. A spare that is
-// made a voter in the moment of its own loss is a loss of its own.
-func (s *replicaSet) mend() {
+// repairAndCheck takes the leader's next repair step and checks that it does not lower the number of
+// tolerated losses, counting only identities that exist. A spare promoted at the moment at which it
+// loses its disk counts as one of those losses.
+func (s *replicaSet) repairAndCheck() {
 	l := s.leader()
 	if l == nil {
 		return
 	}
 	st := l.core.Status()
-	next, ok := repairStep(st, s.known, s.bear())
+	next, ok := repairStep(st, s.details, s.tolerance())
 	if !ok || l.core.ProposeConfig(next) != nil {
 		return
 	}
-	there := func(id uint64) bool { return s.indexOf(id) >= 0 }
-	before, after := st.Config.Spare(there), next.Spare(there)
+	exists := func(id uint64) bool { return s.indexOf(id) >= 0 }
+	before, after := st.Config.MajorityMargin(exists), next.MajorityMargin(exists)
 	for _, v := range next.Voters {
-		if s.spares > 0 && !st.Config.IsVoter(v.ID) && !there(v.ID) {
-			after++ // a spare that lost its disk just now is one of the losses borne
+		if s.spares > 0 && !st.Config.IsVoter(v.ID) && !exists(v.ID) {
+			after++ // a spare that lost its disk at this moment is one of the tolerated losses
 		}
 	}
-	if after < min(before, s.bear()) {
-		s.failf("a step from %v to %v lowers the losses borne from %d to %d", st.Config, next, before, after)
+	if after < min(before, s.tolerance()) {
+		s.failf("a step from %v to %v lowers the tolerated losses from %d to %d", st.Config, next, before, after)
 	}
 	s.process(l)
 }
 
 func (s *replicaSet) step(tick int) {
 	s.tick()
-	s.exchange()
+	s.deliverMessages()
 	if tick%16 == 0 {
-		s.ask()
+		s.requestJoins()
 	}
 	if tick%7 == 0 {
-		s.mend()
+		s.repairAndCheck()
 	}
 	if l := s.leader(); l != nil && len(l.core.log.entries) < 4000 {
 		s.propose(l)
 	}
 	for _, h := range s.hosts {
-		if r := h.replica; r.core != nil && !r.frozen && r.at >= r.core.log.snap.Index+60 {
+		if r := h.replica; r.core != nil && !r.frozen && r.appliedIndex >= r.core.log.snap.Index+60 {
 			s.compact(r)
 		}
 	}
-	s.pass()
+	s.advanceFaults()
 	s.checkLeader()
 }
 
-// checkLeader fails when a group that bears its losses has no leader for long.
+// checkLeader fails if a group within its tolerated losses has no leader for leaderTicks.
 func (s *replicaSet) checkLeader() {
-	if s.leader() != nil || len(s.cuts) > 0 || s.lost() > s.bear() {
-		s.lead = 0
+	if s.leader() != nil || len(s.cuts) > 0 || s.lost() > s.tolerance() {
+		s.leaderlessTicks = 0
 		return
 	}
-	if s.lead++; s.lead == leaderTicks {
-		s.failf("no leader for %d ticks with %d of %d lost", s.lead, s.lost(), len(s.hosts))
+	if s.leaderlessTicks++; s.leaderlessTicks == leaderTicks {
+		s.failf("no leader for %d ticks with %d of %d lost", s.leaderlessTicks, s.lost(), len(s.hosts))
 	}
 }
 
-// play runs one seed and returns what was broken.
-func (s *replicaSet) play() error {
+// run runs one seed and returns the first violation.
+func (s *replicaSet) run() error {
 	for tick := range faultTicks {
-		s.disturb()
+		s.injectFault()
 		s.step(tick)
 	}
 	clear(s.cuts)
@@ -349,17 +348,17 @@
 	}
 	l := s.leader()
 	if l == nil {
-		return fmt.Errorf("no leader after everything is back")
+		return fmt.Errorf("no leader after all faults have ended")
 	}
-	if cfg := l.core.Status().Config; len(cfg.Voters) != FullSize(s.bear()) || len(cfg.Learners) != s.spares || cfg.Joint() {
-		return fmt.Errorf("the set is not whole: %+v", cfg)
+	if cfg := l.core.Status().Config; len(cfg.Voters) != FullSize(s.tolerance()) || len(cfg.Learners) != s.spares || cfg.Joint() {
+		return fmt.Errorf("the set is not complete: %+v", cfg)
 	}
 	in := make(map[string]int)
 	for _, v := range l.core.Status().Config.Voters {
-		in[s.known(v.ID).DataCentre]++
+		in[s.details(v.ID).DataCentre]++
 	}
-	if s.spares > 0 && len(in) < FullSize(s.bear()) {
-		return fmt.Errorf("the voters stand in too few data centres: %v", in)
+	if s.spares > 0 && len(in) < FullSize(s.tolerance()) {
+		return fmt.Errorf("the voters are in too few data centres: %v", in)
 	}
 	s.settle(20)
 	s.checkAll()
@@ -372,13 +371,13 @@
 	return nil
 }
 
-func playSets(t *testing.T, n, spares, runs int) {
+func runSets(t *testing.T, n, spares, runs int) {
 	seeds := make(chan int64)
-	var players sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 4 {
-		players.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				if err := newReplicaSet(n, spares, seed).play(); err != nil {
+				if err := newReplicaSet(n, spares, seed).run(); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 				}
 			}
@@ -388,29 +387,29 @@
 		seeds <- seed
 	}
 	close(seeds)
-	players.Wait()
+	workers.Wait()
 }
 
-// Three elections in a row were split by two replicas that campaigned in the same tick:
-// callers would have waited for three seconds, though the group bears its losses.
+// Three elections in a row were split by two replicas that campaigned in the same tick: callers
+// would have waited for three seconds, although the losses were within the tolerance.
 func TestSetWithSplitElections(t *testing.T) {
-	if err := newReplicaSet(3, 0, 8181).play(); err != nil {
+	if err := newReplicaSet(3, 0, 8181).run(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Replicas restart in any order, lose their disks, are cut off one way or both, have
-// slow links, freeze, and the leader changes in between. Callers find what was
-// acknowledged, a leader is there whenever the group bears its losses, no step of the
-// repair makes it bear fewer, and afterwards the set has its full size.
-func TestSetOfThreeKeepsItsPromises(t *testing.T) { playSets(t, 3, 0, *setRuns) }
+// Replicas restart in any order, lose their disks, are cut off in one or both directions, have slow
+// links and freeze, and the leader changes meanwhile. Every acknowledged command must be kept, there
+// must be a leader whenever the losses are within the tolerance, no repair step may lower the number
+// of tolerated losses, and finally the set must have its full size.
+func TestSetOfThreeKeepsItsGuarantees(t *testing.T) { runSets(t, 3, 0, *setRuns) }
 
-// The same with five replicas, of which two may be lost at once.
-func TestSetOfFiveKeepsItsPromises(t *testing.T) { playSets(t, 5, 0, *setRuns) }
+// The same with five replicas, two of which may be lost at the same time.
+func TestSetOfFiveKeepsItsGuarantees(t *testing.T) { runSets(t, 5, 0, *setRuns) }
 
-// Spares take the places of voters that fall silent or lose their disks, again and again, and
-// the voters end up spread over the data centres.
-func TestSetWithSparesKeepsItsPromises(t *testing.T) {
-	playSets(t, 3, 1, *setRuns/4)
-	playSets(t, 5, 5, *setRuns/4)
+// Spares repeatedly replace voters that become unresponsive or lose their disks, and the voters must
+// finally be spread over the data centres.
+func TestSetWithSparesKeepsItsGuarantees(t *testing.T) {
+	runSets(t, 3, 1, *setRuns/4)
+	runSets(t, 5, 5, *setRuns/4)
 }
--- a/quorum/replicate.go
+++ b/quorum/replicate.go
@@ -1,6 +1,6 @@
 package quorum
 
-// Step takes one message from another replica.
+// Step handles one message from another replica.
 func (c *Core) Step(m Message) {
 	if m.To != c.id || !c.admitTerm(m) {
 		return
@@ -15,20 +15,20 @@
 	case MsgVoteResp:
 		c.onVoteResponse(m, Candidate)
 	case MsgAppend, MsgChunk, MsgHeartbeat:
-		c.onLeaderContact(m)
+		c.onLeaderMessage(m)
 	case MsgAppendResp, MsgChunkResp, MsgHeartbeatResp:
-		c.onFollowerAnswer(m)
+		c.onFollowerResponse(m)
 	case MsgTimeoutNow:
 		c.onTimeoutNow()
 	}
 }
 
-// admitTerm compares terms and tells whether the message is to be handled.
+// admitTerm compares terms and reports whether the message is to be handled.
 func (c *Core) admitTerm(m Message) bool {
 	vote := m.Kind == MsgVote || m.Kind == MsgPreVote
-	if vote && !m.Transfer && c.leaderFresh() && m.From != c.leader {
-		// A replica that merely lost its own link to the leader must not
-		// depose it. Symptom: elections without end under a one-way cut.
+	if vote && !m.Transfer && c.hasRecentLeader() && m.From != c.leader {
+		// A replica that lost only its own link to the leader must not depose it. Without this
+		// check a one-way cut causes endless elections.
 		return false
 	}
 	switch {
@@ -43,15 +43,15 @@
 		c.becomeFollower(m.Term, leader)
 		return true
 	case m.Term < c.term:
-		c.answerStale(m)
+		c.rejectStale(m)
 		return false
 	}
 	return true
 }
 
-// answerStale tells a sender of an older term about the newer one. Without it
-// a leader of an older term never learns that this replica moved on.
-func (c *Core) answerStale(m Message) {
+// rejectStale tells the sender of an older term about the newer one. Without it a leader of an
+// older term never learns that this replica has moved on.
+func (c *Core) rejectStale(m Message) {
 	switch {
 	case m.fromLeader():
 		c.messages = append(c.messages, Message{Kind: MsgAppendResp, From: c.id, To: m.From, Term: c.term, Reject: true})
@@ -60,17 +60,17 @@
 	}
 }
 
-// fromLeader reports whether only the leader of a term sends such a message.
+// fromLeader reports whether such a message is sent only by the leader of a term.
 func (m Message) fromLeader() bool {
 	return m.Kind == MsgAppend || m.Kind == MsgChunk || m.Kind == MsgHeartbeat
 }
 
-func (c *Core) onLeaderContact(m Message) {
+func (c *Core) onLeaderMessage(m Message) {
 	if c.role != Follower {
 		c.becomeFollower(m.Term, m.From)
 	}
 	c.leader = m.From
-	c.silence = 0
+	c.electionElapsed = 0
 	switch m.Kind {
 	case MsgChunk:
 		c.onChunk(m)
@@ -81,41 +81,40 @@
 	}
 }
 
-// onHeartbeat takes the leader's commit index. The leader sends no more of it than
-// it knows this replica to hold, and beside it how far it is itself.
+// onHeartbeat takes over the leader's commit index. m.Commit is limited to what the leader knows
+// this replica to hold; m.Index is the commit index of the whole cluster, 0 if unknown.
 func (c *Core) onHeartbeat(m Message) {
-	c.noteApplied()
-	if c.awaited.index == 0 {
-		// A later word doesn't replace one that is waited for: under load none would ever
-		// be reached.
-		c.awaited = position{m.Index, c.now}
+	c.updateCurrent()
+	if c.awaitedCommit.index == 0 {
+		// An awaited index is not replaced by a later one: under load none would ever be reached.
+		c.awaitedCommit = indexAtTick{m.Index, c.now}
 	}
 	c.log.commitTo(m.Commit)
 	c.messages = append(c.messages, Message{Kind: MsgHeartbeatResp, From: c.id, To: m.From, Term: c.term, Round: m.Round})
 }
 
-// noteApplied ends the wait for what the leader said was committed.
-func (c *Core) noteApplied() {
-	if c.awaited.index != 0 && c.log.applied >= c.awaited.index {
-		c.currentAt, c.awaited = c.awaited.tick, position{}
+// updateCurrent records that the awaited commit index has been applied.
+func (c *Core) updateCurrent() {
+	if c.awaitedCommit.index != 0 && c.log.applied >= c.awaitedCommit.index {
+		c.currentAsOf, c.awaitedCommit = c.awaitedCommit.tick, indexAtTick{}
 	}
 }
 
-// current reports whether this replica has applied all that was committed an election
-// timeout ago. One that hears the leader may still be catching up, and a new leader knows what
-// was committed before it only with its own first entry.
+// current reports whether this replica has applied everything that was committed one election
+// timeout ago. A follower that receives heartbeats may still be catching up, and a new leader has
+// applied everything committed before its term only with its own first entry.
 func (c *Core) current() bool {
 	if c.role == Leader {
 		term, known := c.log.term(c.log.applied)
 		return known && term == c.term
 	}
-	return c.leaderFresh() && c.currentAt > 0 && c.currentAt+ElectionTicks >= c.now
+	return c.hasRecentLeader() && c.currentAsOf > 0 && c.currentAsOf+ElectionTicks >= c.now
 }
 
 func (c *Core) handleAppend(m Message) Message {
 	resp := Message{Kind: MsgAppendResp, From: c.id, To: m.From, Term: c.term, Round: m.Round}
 	if m.Index < c.log.committed {
-		// A late copy. The committed prefix equals the leader's.
+		// A delayed duplicate. The committed prefix equals the leader's.
 		resp.Index = c.log.committed
 		return resp
 	}
@@ -125,24 +124,23 @@
 		return resp
 	}
 	c.log.merge(m.Entries)
-	c.persisted = min(c.persisted, c.log.handed) // a replaced suffix is not on disk yet
+	c.persisted = min(c.persisted, c.log.handedOut) // a replaced suffix is not on disk yet
 	last := m.Index + uint64(len(m.Entries))
 	c.log.commitTo(min(m.Commit, last))
 	resp.Index = last
 	return resp
 }
 
-// conflictHint returns the highest index at which the two logs may agree: it
-// steps over the whole term that disagrees, so that catching up takes one
-// message a term and not one an entry.
+// conflictHint returns the highest index at which the two logs may agree. It skips the whole
+// conflicting term, so that catching up takes one message per term and not one per entry.
 func (c *Core) conflictHint(prev uint64) uint64 {
 	if prev > c.log.last() {
 		return c.log.last()
 	}
-	bad, _ := c.log.term(prev)
+	conflicting, _ := c.log.term(prev)
 	i := prev
 	for i > c.log.committed {
-		if t, _ := c.log.term(i); t != bad {
+		if t, _ := c.log.term(i); t != conflicting {
 			break
 		}
 		i--
@@ -161,9 +159,9 @@
 		c.messages = append(c.messages, resp)
 		return
 	}
-	if c.partial == nil || c.partial.Index != ch.Index || c.partial.Term != ch.Term || c.partSize != ch.Size {
+	if c.partial == nil || c.partial.Index != ch.Index || c.partial.Term != ch.Term || c.partialSize != ch.Size {
 		c.partial = &Snapshot{Index: ch.Index, Term: ch.Term, Config: ch.Config}
-		c.partSize = ch.Size
+		c.partialSize = ch.Size
 	}
 	if ch.Offset == len(c.partial.Data) {
 		c.partial.Data = append(c.partial.Data, ch.Data...)
@@ -185,9 +183,8 @@
 	c.snapshot = &s
 }
 
-// maybeCommit commits the highest entry of this term that a majority holds.
-// An entry of an older term is never committed by counting: a later leader
-// could still replace it.
+// maybeCommit commits the highest entry of this term that a majority holds. An entry of an older
+// term is never committed by counting copies: a later leader could still replace it.
 func (c *Core) maybeCommit() {
 	for i := c.log.last(); i > c.log.committed; i-- {
 		if t, _ := c.log.term(i); t != c.term {
@@ -211,9 +208,9 @@
 	})
 }
 
-// leaveJoint ends the replacement of a voter once its joint set is committed. A
-// leader that finds a joint set committed by an earlier one ends it likewise, with
-// the first entry of its own term.
+// leaveJoint ends the replacement of a voter once its joint configuration is committed. A leader
+// that finds one committed by an earlier leader ends it with the first committed entry of its own
+// term.
 func (c *Core) leaveJoint() {
 	cfg := c.log.config()
 	if cfg.config.Joint() && cfg.index <= c.log.committed {
@@ -229,19 +226,19 @@
 	}
 }
 
-func (c *Core) answerReads() {
-	rest := c.reads[:0]
+func (c *Core) confirmReads() {
+	unconfirmed := c.reads[:0]
 	for _, r := range c.reads {
 		if r.round <= c.round && c.echoed(r.round) {
-			c.done = append(c.done, r.Read)
+			c.confirmedReads = append(c.confirmedReads, r.Read)
 			continue
 		}
-		rest = append(rest, r)
+		unconfirmed = append(unconfirmed, r)
 	}
-	c.reads = rest
+	c.reads = unconfirmed
 }
 
-// echoed reports whether a majority has echoed a contact round.
+// echoed reports whether a majority has echoed a heartbeat round.
 func (c *Core) echoed(round uint64) bool {
 	return c.log.config().config.majority(func(id uint64) bool { return id == c.id || c.peers[id].round >= round })
 }
--- a/quorum/traps_test.go
+++ b/quorum/safety_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// settled returns a group of n voters with its leader.
-func settled(t *testing.T, n int) (*network, *fakeReplica) {
+// settledNetwork returns a group of n voters and its leader.
+func settledNetwork(t *testing.T, n int) (*network, *fakeReplica) {
 	t.Helper()
 	w := newNetwork(n, 3)
 	w.settle(200)
@@ -41,12 +41,11 @@
 	}
 }
 
-// A leader is cut off silently; the others elect a new one and accept a change.
-// A caller who reads at the old leader must not be told the old state as
-// current: the read needs a majority's echo, which never comes, and the leader
-// steps down within one election timeout.
+// A leader is cut off without notice; the others elect a new one and accept a change. A read at the
+// old leader must not return its state as current: the read needs echoes from a majority, which it
+// does not get, and the leader steps down within one election timeout.
 func TestCutOffLeaderConfirmsNothing(t *testing.T) {
-	w, old := settled(t, 3)
+	w, old := settledNetwork(t, 3)
 	w.inFlight = nil
 	w.isolate(old)
 	old.core.Read(77)
@@ -64,9 +63,9 @@
 	}
 }
 
-// An entry of an older term reaches a majority only under a later leader. If it
-// were committed by counting, a third replica with a newer log could still win
-// and replace it: the caller's change would be acknowledged and then gone.
+// An entry of an older term reaches a majority only under a later leader. If it were committed by
+// counting copies, a third replica with a newer log could still win and replace it: an acknowledged
+// change would be lost.
 func TestOlderTermIsNotCommittedByCounting(t *testing.T) {
 	voters := Config{Voters: []Replica{{ID: 1}, {ID: 2}, {ID: 3}}}
 	entries := []Entry{{Index: 1, Term: 1, Kind: EntryConfig, Data: encodeConfig(voters)}, {Index: 2, Term: 2, Kind: EntryCommand, Data: []byte("old")}}
@@ -86,12 +85,12 @@
 	}
 }
 
-// The leader sends its entries before its own disk is synced. One follower's
-// answer plus the leader's unsynced copy must not count as a majority: a crash
-// of the leader would leave the change on one disk of three. The same holds for
-// an index that was synced once, but with an entry that has been replaced.
+// The leader sends its entries before its own disk is synced. One follower's response plus the
+// leader's unsynced copy must not count as a majority: a crash of the leader would leave the change on
+// one disk of three. The same holds for an index that was synced once but with an entry that has
+// been replaced.
 func TestUnsyncedCopyDoesNotCount(t *testing.T) {
-	w, l := settled(t, 3)
+	w, l := settledNetwork(t, 3)
 	index, term, _ := l.core.Propose([]byte("x"))
 	l.core.Ready()
 	follower := w.others(l)[0].disk.id
@@ -115,10 +114,10 @@
 	}
 }
 
-// A lone voter wins its election without anybody's vote. What it sends before
-// its new term is synced could be forgotten in a crash, and the same term led
-// again with other entries under the same numbers: learners would differ.
-func TestNothingLeavesBeforeTheTermIsSynced(t *testing.T) {
+// A single voter wins its election without receiving votes. If it sent messages before its new term is
+// synced, a crash could lose the term, and it would lead the same term again with other entries at the
+// same indexes: learners would diverge.
+func TestNoMessageIsSentBeforeTheTermIsSynced(t *testing.T) {
 	cfg := Config{Voters: []Replica{{ID: 1}}, Learners: []Replica{{ID: 2}}}
 	entries := []Entry{{Index: 1, Term: 1, Kind: EntryConfig, Data: encodeConfig(cfg)}}
 	c := NewCore(1, HardState{Term: 1, Vote: 1, Commit: 1}, Snapshot{}, entries, rand.New(rand.NewSource(1)))
@@ -129,11 +128,11 @@
 	}
 }
 
-// Changing two voters at once, or a second time before the first change is
-// committed, can make two majorities that do not overlap: two leaders in one
-// term. An operator's repair in the middle of another waits.
+// Changing two voters at once, or a second one before the first change is committed, can create two
+// majorities that do not overlap, and so two leaders in one term. A repair that an operator requests
+// during another one must wait.
 func TestReplicaSetChangesOneStepAtATime(t *testing.T) {
-	_, l := settled(t, 3)
+	_, l := settledNetwork(t, 3)
 	cfg := l.core.Status().Config
 	two := cfg.WithVoter(Replica{ID: 50, Name: "x"}).WithVoter(Replica{ID: 51, Name: "y"})
 	if err := l.core.ProposeConfig(two); err != ErrConfig {
@@ -154,12 +153,11 @@
 	}
 }
 
-// A replica loses its disk and comes back empty. It becomes a learner under a
-// new identity, and a voter only once it answers and has caught up; then a
-// second replica loses its disk right after the repair. Nothing that was
-// acknowledged is lost, and no vote is counted twice.
+// A replica loses its disk and returns empty. It must become a learner under a new identity, and a
+// voter only once it responds and has caught up. Then a second replica loses its disk right after
+// the repair. No acknowledged command may be lost, and no vote may be counted twice.
 func TestSecondDiskLostRightAfterRepair(t *testing.T) {
-	w, l := settled(t, 3)
+	w, l := settledNetwork(t, 3)
 	for range 200 {
 		w.propose(l)
 		w.settle(1)
@@ -186,13 +184,12 @@
 	w.fatalOnError(t)
 }
 
-// A learner that never answered has nothing on its disk that the leader knows
-// of. As a voter it would take the majority away; the caller would see "no
-// quorum" until it comes.
-func TestSilentLearnerIsNotPromoted(t *testing.T) {
+// The leader knows of nothing on the disk of a learner that never responded. As a voter it could cost
+// the leader its majority; callers would get "no quorum" until it responds.
+func TestUnresponsiveLearnerIsNotPromoted(t *testing.T) {
 	st := Status{Last: 10, Match: map[uint64]uint64{1: 10}, Config: Config{Voters: []Replica{{ID: 1}}, Learners: []Replica{{ID: 2}}}}
 	if st.CaughtUp(Replica{ID: 2}) {
-		t.Fatal("a learner that never answered counts as caught up")
+		t.Fatal("a learner that never responded counts as caught up")
 	}
 	st.Match[2], st.Last = 10, 1000
 	if st.CaughtUp(Replica{ID: 2}) {
@@ -200,12 +197,12 @@
 	}
 }
 
-// A replica is away while hundreds of changes go by and the log is compacted. It
-// is brought up by a snapshot in chunks, though some of them are lost.
+// A replica is down while thousands of changes are committed and the log is compacted. It must catch up
+// by a snapshot in chunks, although some of them are lost.
 func TestFarBehindReplicaIsBroughtUpBySnapshot(t *testing.T) {
-	w, l := settled(t, 3)
-	behind := w.others(l)[0]
-	w.stop(behind)
+	w, l := settledNetwork(t, 3)
+	lagging := w.others(l)[0]
+	w.stop(lagging)
 	for range 3000 {
 		w.propose(l)
 		if len(w.inFlight) > 50 {
@@ -214,7 +211,7 @@
 	}
 	w.settle(5)
 	w.compact(w.leader())
-	w.start(behind)
+	w.start(lagging)
 	for i := range 40 {
 		w.settle(2)
 		if i%3 == 0 {
@@ -222,23 +219,23 @@
 		}
 	}
 	w.settle(40)
-	if len(behind.applied) != 3000 || behind.core.log.base == 0 {
-		t.Fatalf("applied %d of 3000, base %d", len(behind.applied), behind.core.log.base)
+	if len(lagging.applied) != 3000 || lagging.core.log.base == 0 {
+		t.Fatalf("applied %d of 3000, base %d", len(lagging.applied), lagging.core.log.base)
 	}
 	w.checkAll()
 	w.fatalOnError(t)
 }
 
-// The leadership is handed over when an instance is shut down: the next leader
-// is there after one round of messages, not after an election timeout.
+// The leadership is transferred when an instance shuts down: the next leader must be elected after one
+// round of messages and not after an election timeout.
 func TestHandOverTakesNoElectionTimeout(t *testing.T) {
-	w, l := settled(t, 3)
+	w, l := settledNetwork(t, 3)
 	to := w.others(l)[1]
 	if err := l.core.Transfer(to.disk.id); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := l.core.Propose(nil); err != ErrBusy {
-		t.Fatalf("a proposal during the hand-over: %v", err)
+		t.Fatalf("a proposal during the transfer: %v", err)
 	}
 	w.process(l)
 	for range 40 {
@@ -252,14 +249,13 @@
 	w.fatalOnError(t)
 }
 
-// A follower is frozen while changes pass it by. Once it wakes it answers all the
-// heartbeats that piled up, each with a rejection. If each made the leader send
-// the whole missing tail again, the leader's memory and link would fill with
-// copies and its callers would wait behind them.
-func TestPiledUpRejectionsDoNotMultiplyTheTail(t *testing.T) {
-	w, l := settled(t, 3)
-	asleep := w.others(l)[0]
-	w.isolate(asleep)
+// A follower is frozen while changes are committed. When it resumes, it rejects all queued appends. If
+// the leader resent the whole missing tail for each rejection, its memory and link would fill with
+// copies and callers would be delayed.
+func TestQueuedRejectionsDoNotResendTheLogTail(t *testing.T) {
+	w, l := settledNetwork(t, 3)
+	frozen := w.others(l)[0]
+	w.isolate(frozen)
 	const missing = 200
 	for range missing {
 		if _, _, err := l.core.Propose([]byte("a change")); err != nil {
@@ -271,29 +267,29 @@
 	sent := 0
 	count := func(rd Ready) {
 		for _, m := range append(rd.Early, rd.Messages...) {
-			if m.To == asleep.disk.id {
+			if m.To == frozen.disk.id {
 				sent += len(m.Entries)
 			}
 		}
 	}
-	has := asleep.core.Status().Last
+	has := frozen.core.Status().Last
 	for i := range 50 {
-		l.core.Step(Message{Kind: MsgAppendResp, From: asleep.disk.id, To: l.disk.id, Term: term, Reject: true,
+		l.core.Step(Message{Kind: MsgAppendResp, From: frozen.disk.id, To: l.disk.id, Term: term, Reject: true,
 			Index: has, Prev: has + missing - uint64(i)})
 		count(l.core.Ready())
 	}
 	if sent > 0 {
 		t.Fatalf("%d entries were sent before the replica accepted any place in the log", sent)
 	}
-	l.core.Step(Message{Kind: MsgAppendResp, From: asleep.disk.id, To: l.disk.id, Term: term, Index: has})
+	l.core.Step(Message{Kind: MsgAppendResp, From: frozen.disk.id, To: l.disk.id, Term: term, Index: has})
 	count(l.core.Ready())
 	if sent < missing || sent > 2*missing {
 		t.Fatalf("%d entries were sent for %d missing ones", sent, missing)
 	}
 }
 
-// Three replicas start with empty disks and the same seeds. None of them alone
-// may acknowledge anything; any two must be able to.
+// Three replicas start with empty disks and the same seeds. A single one must not commit anything; any
+// two must be able to.
 func TestSeedsFormOneSetAndNoneCommitsAlone(t *testing.T) {
 	set := Config{Voters: []Replica{{ID: 1}, {ID: 3}, {ID: 5}}}
 	cores := make(map[uint64]*Core)
@@ -328,7 +324,7 @@
 	}
 	run(1)
 	if st := cores[1].Status(); st.Role == Leader || st.Commit > 0 {
-		t.Fatalf("one replica of three went ahead alone: %+v", st)
+		t.Fatalf("one replica of three leads or has committed alone: %+v", st)
 	}
 	run(1, 3)
 	leaders, committed := 0, 0
--- a/quorum/spread.go
+++ b/quorum/spread.go
@@ -1,10 +1,9 @@
 package quorum
 
-// The voters are spread over the data centres as evenly as the replicas allow, so that
-// the loss of one takes as few of them as can be.
+// Voters are spread over the data centres as evenly as the replicas allow, so that the loss of one
+// data centre takes as few voters as possible.
 
-// votersIn counts the voters by data centre. Those of which it isn't known count for
-// none.
+// votersIn counts the voters by data centre. Voters of an unknown data centre are not counted.
 func votersIn(c Config) map[string]int {
 	out := make(map[string]int)
 	for _, v := range c.Voters {
@@ -15,8 +14,8 @@
 	return out
 }
 
-// bestSpare returns the learner that has caught up and stands in the data centre with
-// the fewest voters.
+// bestSpare returns the learner that has caught up and is in the data centre with the fewest
+// voters.
 func bestSpare(st Status) (best Replica, ok bool) {
 	voters := votersIn(st.Config)
 	for _, l := range st.Config.Learners {
@@ -27,8 +26,8 @@
 	return best, ok
 }
 
-// mostCrowded returns a voter of the data centre with the most, other than the leader.
-func mostCrowded(st Status) (id uint64) {
+// voterToDemote returns a voter, other than the leader, of the data centre with the most voters.
+func voterToDemote(st Status) (id uint64) {
 	voters, most := votersIn(st.Config), -1
 	for _, v := range st.Config.Voters {
 		if n := voters[v.DataCentre]; v.ID != st.ID && n > most {
@@ -38,14 +37,14 @@
 	return id
 }
 
-// spread moves a vote from the most crowded data centre to a spare in one that has at
-// least two fewer, while every voter answers.
-func spread(st Status, bear int) (Config, bool) {
+// spreadVoters swaps a voter of the data centre with the most voters for a spare in one with at
+// least two fewer, provided that the set currently has the required tolerance.
+func spreadVoters(st Status, tolerance int) (Config, bool) {
 	l, ok := bestSpare(st)
-	if !ok || l.DataCentre == "" || st.Spare() < bear {
+	if !ok || l.DataCentre == "" || st.Spare() < tolerance {
 		return Config{}, false
 	}
-	id := mostCrowded(st)
+	id := voterToDemote(st)
 	from, _ := find(st.Config.Voters, id)
 	voters := votersIn(st.Config)
 	if voters[from.DataCentre] < voters[l.DataCentre]+2 {
--- a/quorum/syncs.go
+++ b/quorum/syncs.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// SyncWatch is told what has reached the disk, so that a proof can take away the rest
-// as a loss of power would.
+// SyncWatch observes what has been synced to disk, so that a test can discard everything else as a
+// power failure would.
 type SyncWatch interface {
-	// File says that the first size bytes of a file will still be there.
+	// File reports that the first size bytes of a file are durable.
 	File(path string, size int64)
-	// Folder says that the files that are in a folder now will be.
+	// Folder reports that the current directory entries of a folder are durable.
 	Folder(dir string)
 }
 
-// syncWatch is set by tests only.
+// syncWatch is set only by tests.
 var syncWatch atomic.Pointer[SyncWatch]
 
-// WatchSyncs installs a watch, or removes it with nil. It costs a shipped process one
-// load of a pointer per sync.
+// WatchSyncs installs an observer, or removes it if w is nil. Without one, a sync costs one
+// additional pointer load.
 func WatchSyncs(w SyncWatch) {
 	if w == nil {
 		syncWatch.Store(nil)
