--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -9,22 +9,23 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// Verdict is whether a job should be taken in.
+// Verdict is the decision whether to accept a job.
 type Verdict struct {
 	Refuse bool
-	// Unadvised says that the job could never start: nobody can be asked which
-	// workers may run it.
+	// Unadvised says that the job could never start: its queue needs an advisor and none is
+	// configured.
 	Unadvised bool
-	// OutOfService says that nothing starts now: operators have taken every data centre
-	// with a worker for the job out of service.
+	// OutOfService says that the job can't start at present: operators have taken every data
+	// centre with a worker for it out of service.
 	OutOfService bool
-	// After is when it is worth asking again.
+	// After is how long the caller should wait before it submits the job again.
 	After time.Duration
-	// Expected is when the job would be done, and Objective when it should.
+	// Expected is when the job is expected to end, Objective when it should, both counted from
+	// its acceptance.
 	Expected, Objective time.Duration
 }
 
-// Reason tells why a job is refused.
+// Reason returns why the job is refused.
 func (v *Verdict) Reason() string {
 	if v.Unadvised {
 		return "the queue needs an advisor, and the control's settings name none"
@@ -33,29 +34,29 @@
 		return "every data centre with a worker for the queue is out of service"
 	}
 	if v.Objective == 0 {
-		return "standing tasks hold all the room that they may have"
+		return "standing tasks already hold their full share of the service's processors"
 	}
 	return fmt.Sprintf("the job would be done in %v, its objective is %v", v.Expected.Round(time.Millisecond), v.Objective.Round(time.Millisecond))
 }
 
 const (
-	// admitFactor is how far past its objective a job may be expected to end
-	// and still be taken: as long as it is worth anything to its caller.
-	// Refused sooner, callers are refused for nothing more often than they are spared a
-	// wait: the work ahead is known only roughly.
+	// admitFactor is how many times its objective a job may be expected to take and still be
+	// accepted: as long as the result has value to its caller. A lower factor refuses more jobs
+	// that would have been in time than it spares callers a wait, since the work ahead is known
+	// only roughly.
 	admitFactor = lateFactor
-	// longestAfter bounds the time to come back: the work ahead changes.
-	longestAfter = 5 * time.Second
+	// maxRetryAfter limits Verdict.After, since the work ahead changes.
+	maxRetryAfter = 5 * time.Second
 )
 
-// Admit tells whether a job can still meet its objective behind the work that is
-// accepted already. It answers the load of a burst beyond the room: taken all
-// in, every job waits longer than it may and none is in time.
+// Admit decides whether a job can still meet its objective behind the work already accepted. It
+// sheds load in a burst beyond the capacity: if every job were accepted, each would wait too long
+// and none would be in time.
 //
-// Only jobs that can still be in time count as ahead; the others give way.
+// Only jobs that can still be in time count as work ahead; the others are served after them.
 func Admit(in Input, q *queues.Queue, spec *jobs.Spec) Verdict {
 	if in.outOfService(q.Service) {
-		return Verdict{Refuse: true, OutOfService: true, After: outAfter}
+		return Verdict{Refuse: true, OutOfService: true, After: outOfServiceRetryAfter}
 	}
 	if in.Without.Admission {
 		return Verdict{}
@@ -77,51 +78,50 @@
 			continue
 		}
 		f := in.Estimates.forecast(j, other, 0)
-		if f.outlook(age(j, 0, in.NowMS)) <= Fresh {
+		if f.class(age(j, 0, in.NowMS)) <= NotStarted {
 			ahead += f.work
 		}
 	}
-	room := float64(roomFor(in, q.Service, filling)) / 1000
-	if room <= 0 {
+	available := float64(availableCPU(in, q.Service, filling)) / 1000
+	if available <= 0 {
 		return Verdict{}
 	}
 	fresh := &jobs.Job{Host: q.Host, Prefix: q.Prefix, Spec: *spec}
 	f := in.Estimates.forecast(fresh, q, 0)
-	wait := ms(ahead / room)
-	v := Verdict{Expected: wait + max(f.remaining, ms(f.work/room)), Objective: f.deadline}
+	wait := ms(ahead / available)
+	v := Verdict{Expected: wait + max(f.remaining, ms(f.work/available)), Objective: f.deadline}
 	if v.Expected > ms(admitFactor*float64(f.deadline)/float64(time.Millisecond)) {
 		v.Refuse = true
-		v.After = min(v.Expected-v.Objective, longestAfter)
+		v.After = min(v.Expected-v.Objective, maxRetryAfter)
 	}
 	return v
 }
 
 const (
-	// standingShare is the part of a service's processors that standing tasks
-	// may hold. What they hold they hold for good: the rest is for tasks that
-	// come and go, which earn their callers several times as much with a
-	// processor, and else find none.
+	// standingShare is the part of a service's processors that standing tasks may hold. They hold
+	// it for good. The rest is for tasks that end, which are worth several times as much to their
+	// callers per processor and would otherwise find no capacity.
 	standingShare = 0.75
-	// standingAfter is when a standing job may ask again; they stay for a
-	// minute or so.
-	standingAfter = 5 * time.Second
+	// standingRetryAfter is when a refused standing job may be submitted again. Standing tasks
+	// usually run for about a minute.
+	standingRetryAfter = 5 * time.Second
 )
 
-// outAfter is when a caller may ask again whose job could start nowhere. Work on a data
-// centre takes minutes, but the caller has nowhere else to go.
-const outAfter = 5 * time.Second
+// outOfServiceRetryAfter is when a job that no data centre in service can run may be submitted
+// again. Maintenance of a data centre takes minutes, but the caller has no alternative.
+const outOfServiceRetryAfter = 5 * time.Second
 
-// outOfService reports whether every data centre in which a service has had a worker is out
-// of service. Where one is left, its workers may only be restarting.
+// outOfService reports whether every data centre that has hosted a worker of the service is out
+// of service. If one is in service but has no worker, its workers may only be restarting.
 func (in *Input) outOfService(service string) bool {
-	stood := in.Jobs.Stood[service]
-	return len(stood) > 0 && !slices.ContainsFunc(stood, func(name string) bool { return !in.DataCentres.Cordoned(name) })
+	hosting := in.Jobs.Stood[service]
+	return len(hosting) > 0 && !slices.ContainsFunc(hosting, func(name string) bool { return !in.DataCentres.Cordoned(name) })
 }
 
-// admitStanding takes a job of standing tasks in as long as they leave room for
-// the tasks that come and go. What was taken in and has no place yet counts as well: jobs
-// come together, at the start of a day above all, and each would else find the room that the
-// others are about to hold.
+// admitStanding accepts a job of standing tasks as long as enough processors remain for tasks
+// that end. Accepted tasks that are not placed yet count as well: jobs arrive together, above all
+// at the start of a day, and each would otherwise count the capacity that the others are about to
+// hold.
 func admitStanding(in Input, q *queues.Queue, spec *jobs.Spec) Verdict {
 	total, held := int64(0), in.Promised[q.Service]
 	for id, w := range in.Jobs.Workers {
@@ -140,7 +140,7 @@
 	if total == 0 || float64(held+StandingCPU(spec)) <= standingShare*float64(total) {
 		return Verdict{}
 	}
-	return Verdict{Refuse: true, After: standingAfter}
+	return Verdict{Refuse: true, After: standingRetryAfter}
 }
 
 // StandingCPU returns the processors that a job's standing tasks hold once all are placed, in
@@ -154,6 +154,7 @@
 	return sum
 }
 
+// standing reports whether a job has standing tasks.
 func standing(s *jobs.Spec) bool {
 	for i := range s.Steps {
 		if s.Steps[i].Standing {
@@ -163,6 +164,7 @@
 	return false
 }
 
+// fills reports whether a job has filling tasks.
 func fills(s *jobs.Spec) bool {
 	for i := range s.Steps {
 		if s.Steps[i].Fills {
@@ -172,15 +174,15 @@
 	return false
 }
 
-// age is the time since a job was accepted, or was due if that was later.
+// age returns the time since a job was accepted, or since it was due if that is later.
 func age(j *jobs.Job, dueMS, nowMS int64) time.Duration {
 	return time.Duration(nowMS-max(j.AcceptedAt, dueMS)) * time.Millisecond
 }
 
-// roomFor returns the processors of a service, in thousandths, that jobs of a
-// kind can have: filling ones get what is not held, the others what is not held
-// by standing tasks.
-func roomFor(in Input, service string, filling bool) int64 {
+// availableCPU returns the processors of a service, in thousandths, that jobs of a kind can use:
+// for filling jobs those not held by other tasks, plus the reclaimable part of those held by
+// serving tasks; for other jobs those not held by serving tasks.
+func availableCPU(in Input, service string, filling bool) int64 {
 	total := int64(0)
 	for id, w := range in.Jobs.Workers {
 		if w.Service != service || in.closed(w) {
@@ -188,7 +190,7 @@
 		}
 		u := in.Jobs.Use(id)
 		if filling {
-			total += w.Capacity.MilliCPU - u.Held.MilliCPU + int64(servingSlack*float64(u.ServingCPU))
+			total += w.Capacity.MilliCPU - u.Held.MilliCPU + int64(reclaimableServingShare*float64(u.ServingCPU))
 		} else {
 			total += w.Capacity.MilliCPU - u.ServingCPU
 		}
--- a/dispatch/advised.go
+++ b/dispatch/advised.go
@@ -7,19 +7,20 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// Wanted is a step that waits for somebody's word on which workers may run it.
+// Wanted is a step that waits for its queue's advisor to name the workers that may run it.
 type Wanted struct {
 	Step jobs.GroupKey
-	// Tasks is how many of its tasks wait.
+	// Tasks is the number of its tasks that wait.
 	Tasks int
-	// Workers are those that could run it, the best first.
+	// Workers are those that could run the step, the best first.
 	Workers []string
-	// Advice is how the queue's advisor answers.
+	// Advice holds the times that the queue's advisor takes to answer and that its answers are
+	// valid for.
 	Advice queues.Advice
 }
 
-// Advised returns the steps of advised queues whose tasks wait, the most urgent first. It
-// is asked after each pass, so where no queue is advised it looks at nothing else.
+// Advised returns the steps of advised queues that have waiting tasks, the most urgent first. It
+// is called after each pass, so it returns early if no queue is advised.
 func Advised(in Input) []Wanted {
 	if !in.Config.Advised() {
 		return nil
@@ -31,15 +32,15 @@
 			continue
 		}
 		if p.workers == nil {
-			p.gather()
+			p.collectCandidates()
 		}
 		out = append(out, Wanted{Step: r.group.Key(), Tasks: r.group.Waiting(), Workers: p.candidates(r), Advice: *r.queue.Advice})
 	}
 	return out
 }
 
-// candidates returns the workers that could run a step if the advisor lets them: those
-// with room now first, then by their cost.
+// candidates returns the workers that could run a step if the advisor allows it: those with
+// enough free capacity first, then by cost.
 func (p *planner) candidates(r request) []string {
 	type option struct {
 		id   string
@@ -77,8 +78,8 @@
 	return out
 }
 
-// ticketFor returns the ticket of a worker for a step, and whether it may run it: always
-// without an advisor.
+// ticketFor returns the ticket of a worker for a step, and whether the worker may run the step.
+// Without an advisor it always may.
 func (p *planner) ticketFor(r request, worker string) (ticket string, may bool) {
 	if r.queue.Advice == nil {
 		return "", true
@@ -90,7 +91,7 @@
 	return ticket, ticket != ""
 }
 
-// addTicket adds the ticket for the placement's newest worker.
+// addTicket appends the ticket for the worker that was added to the placement last.
 func (p *planner) addTicket(pl *jobs.Placement, r request, c *candidate) {
 	if ticket, _ := p.ticketFor(r, c.worker.ID); ticket != "" {
 		pl.Tickets = append(pl.Tickets, ticket)
--- a/dispatch/advised_test.go
+++ b/dispatch/advised_test.go
@@ -8,8 +8,8 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// advised makes the titles' queue one whose steps may run only where the advisor says.
-func (s *scene) advised(tickets map[string]string) {
+// requireAdvice sets an advisor for the first queue, which issues the given tickets by worker.
+func (s *harness) requireAdvice(tickets map[string]string) {
 	c := config
 	c.Queues = slices.Clone(config.Queues)
 	c.Queues[0].Advice = &queues.Advice{DecisionMS: 50, PerWorkerMS: 1, ValidMS: 2000}
@@ -17,16 +17,17 @@
 	s.in.Ticket = func(_ jobs.GroupKey, worker string) string { return tickets[worker] }
 }
 
-// A queue's policy allows only some workers to run a step. Nothing of it starts before
-// the advisor's word, and then only where there is a ticket, which goes with the start.
+// A queue's policy allows only some workers to run a step. No task of it may start before the
+// advisor has answered, and then only on workers with a ticket, which is sent with the start
+// order.
 func TestAdvisedStepsGoOnlyWhereATicketIs(t *testing.T) {
-	s := newScene(t, 3)
+	s := newHarness(t, 3)
 	tickets := make(map[string]string)
-	s.advised(tickets)
+	s.requireAdvice(tickets)
 	job := s.submit(1, "/titles/", 0, task(2, 1000, 100))
 	free := s.submit(2, "/renders/", 0, task(1, 1000, 100))
 	if got := s.pass(); got[job] != 0 || got[free] != 1 {
-		t.Fatalf("placed before the advisor's word: %v", got)
+		t.Fatalf("placed before the advisor answered: %v", got)
 	}
 	tickets["w1"] = "ticket-1"
 	if got := s.pass()[job]; got != 2 {
@@ -39,15 +40,15 @@
 		}
 	}
 	if s.Jobs[job].Active() != 2 || len(s.Orders("w2", 0)) != 0 {
-		t.Fatal("a task went where there is no ticket")
+		t.Fatal("a task was placed on a worker without a ticket")
 	}
 }
 
-// The advisor takes time for each worker that it is asked about. It is asked about
-// those that could run the step, the ones with room now first.
+// The advisor takes time for each worker that it is asked about. It is asked only about those
+// that could run the step, the ones with enough free capacity first.
 func TestTheAdvisorIsAskedAboutWorkersThatCould(t *testing.T) {
-	s := newScene(t, 4)
-	s.advised(nil)
+	s := newHarness(t, 4)
+	s.requireAdvice(nil)
 	s.submit(1, "/renders/", 0, task(1, 9000, 100))
 	s.pass() // fills w0
 	st := task(3, 2000, 100)
@@ -58,12 +59,12 @@
 	s.submit(3, "/titles/", 0, missing)
 	got := Advised(s.in)
 	if len(got) != 2 || got[0].Step.Job != job || got[0].Tasks != 3 {
-		t.Fatalf("wanted: %+v", got)
+		t.Fatalf("requests for advice: %+v", got)
 	}
 	if want := []string{"w1", "w2", "w3", "w0"}; !slices.Equal(got[0].Workers, want) {
 		t.Errorf("asked about %v, want %v", got[0].Workers, want)
 	}
 	if len(got[1].Workers) != 0 {
-		t.Errorf("asked about %v for a label that none has", got[1].Workers)
+		t.Errorf("asked about %v for a label that no worker has", got[1].Workers)
 	}
 }
--- a/dispatch/away_test.go
+++ b/dispatch/availability_test.go
@@ -6,36 +6,36 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-func bound(st jobs.Step, n int) jobs.Step {
+func withMaxUnavailable(st jobs.Step, n int) jobs.Step {
 	st.MaxUnavailable = n
 	return st
 }
 
-// A machine is to go down for its upkeep while a caller's standing tasks run on it, of
-// which one may be away. They leave one at a time, each once the last is at work again;
-// the worker may be ended only when that takes no more away than allowed.
+// A machine is to go down for maintenance while it runs a caller's standing tasks, one of which
+// may be unavailable. They must move one at a time, each once the previous one is running again.
+// The worker may be stopped only when no more tasks than allowed become unavailable.
 func TestStandingTasksLeaveOneAtATime(t *testing.T) {
-	s := newScene(t, 3)
-	job := s.submit(1, "/titles/", 1000, bound(serving(2, 4000, "watch"), 1))
+	s := newHarness(t, 3)
+	job := s.submit(1, "/titles/", 1000, withMaxUnavailable(serving(2, 4000, "watch"), 1))
 	s.in.NowMS = 1000
 	s.pass()
 	g := s.Jobs[job].Group(0, 0)
 	from := g.Tasks[0].Placed.Worker
 	if g.Tasks[1].Placed.Worker != from {
-		t.Fatal("the scene needs both tasks on one worker")
+		t.Fatal("the test needs both tasks on one worker")
 	}
 	s.in.Leaving = map[string]bool{from: true}
 	stops := func() int { return len(Next(s.in).Stops) }
 	if n := stops(); n != 0 {
-		t.Fatalf("%d tasks were moved before any was at work", n)
+		t.Fatalf("%d tasks were moved before any was running", n)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
 	plan := Next(s.in)
 	if len(plan.Stops) != 1 {
-		t.Fatalf("%d tasks were moved at once", len(plan.Stops))
+		t.Fatalf("%d tasks were moved together", len(plan.Stops))
 	}
 	if Spared(s.State, from, s.in.NowMS) {
-		t.Fatal("a worker with two of two tasks may be ended")
+		t.Fatal("a worker with both of two tasks may be stopped")
 	}
 	s.index++
 	s.ApplyPlan(plan, rules, s.index)
@@ -50,14 +50,14 @@
 		t.Fatalf("the moved task is at %+v", at)
 	}
 	if n := stops(); n != 0 || Spared(s.State, from, s.in.NowMS) {
-		t.Fatalf("%d more tasks were moved while one starts, or the worker may be ended", n)
+		t.Fatalf("%d more tasks were moved while one starts, or the worker may be stopped", n)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
 	if n := stops(); n != 1 || !Spared(s.State, from, s.in.NowMS) {
-		t.Fatalf("%d tasks were moved once the other is at work again", n)
+		t.Fatalf("%d tasks were moved once the other is running again, want 1, or the worker may not be stopped", n)
 	}
 	s.ApplyCancel(job, s.index+1)
 	if !Spared(s.State, from, 0) {
-		t.Fatal("a cancelled job's tasks keep their worker")
+		t.Fatal("a cancelled job's tasks keep their worker from being stopped")
 	}
 }
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -6,32 +6,33 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// Copies answer workers that turn slow or stand still without failing anything: the
-// last task of a step holds up the whole job, and on such a worker it takes four to
-// eight times as long as its peers.
+// Copies are second runs of a task. They guard against workers that become slow or hang without
+// failing their tasks: the last task of a step delays the whole job, and on such a worker it
+// takes four to eight times as long as its peers.
 const (
-	// knownFactor and guessFactor are how many times its expected duration a run takes
-	// before it may get a copy, where tasks of its step were seen to end and where only
-	// the queue's are known. Tasks of a step differ by a third from each other, and
-	// those of a queue by half.
-	knownFactor = 1.3
-	guessFactor = 2.0
-	// slowWorkerFactor stands in on a worker whose runs are known to take long.
+	// measuredFactor and estimatedFactor are how many times its expected duration a run takes
+	// before it may be copied: measuredFactor where tasks of its step have finished,
+	// estimatedFactor where only the queue's durations are known. Durations within a step differ
+	// by a third, those within a queue by half.
+	measuredFactor  = 1.3
+	estimatedFactor = 2.0
+	// slowWorkerFactor replaces both on a worker with slowness above slowWorkerThreshold.
 	slowWorkerFactor = 1.0
-	// slowWorker is how much longer they do, as a logarithm: one and a half times.
-	slowWorker = 0.4
-	// copySlack is added for the way of the order to the worker and of the end back.
+	// slowWorkerThreshold is a logarithm: the worker's runs take 1.5 times as long as expected.
+	slowWorkerThreshold = 0.4
+	// copySlack allows for the time that the start order and the report of the end are in
+	// transit.
 	copySlack = 100 * time.Millisecond
-	// copyMargin is how long before the last moment a copy begins, as a part of its
-	// expected duration: how much those differ.
+	// copyMargin is how long before the latest useful moment a copy starts, as a part of its
+	// expected duration. It covers the variation of durations.
 	copyMargin = 0.5
-	// maxCopies bounds the copies of one pass. More would be promised room that the
-	// next jobs need.
+	// maxCopies limits the copies of one pass. More would reserve capacity that the next jobs
+	// need.
 	maxCopies = 16
 )
 
-// overdue returns the tasks whose only run takes so long that a copy should begin.
-func (p *planner) overdue() []jobs.Ref {
+// overrunning returns the tasks whose only run takes so long that a copy should start.
+func (p *planner) overrunning() []jobs.Ref {
 	if !p.in.Copies || p.in.Estimates == nil || p.in.Without.Copies {
 		return nil
 	}
@@ -41,27 +42,28 @@
 	}
 	return p.in.Jobs.Alone(func(ref jobs.Ref, g *jobs.Group) bool {
 		r := g.Tasks[ref.Index].Placed
-		return stuck[jobs.Stop{Task: ref, Run: r.Run}] || (p.slow(g, r) && p.pays(g))
+		return stuck[jobs.Stop{Task: ref, Run: r.Run}] || (p.overruns(g, r) && p.worthCopying(g))
 	})
 }
 
-// slow reports whether a run takes longer than its peers do.
-func (p *planner) slow(g *jobs.Group, r *jobs.Placed) bool {
+// overruns reports whether a run takes longer than its peers do.
+func (p *planner) overruns(g *jobs.Group, r *jobs.Placed) bool {
 	expected, measured := p.in.Estimates.taskMS(g.Job(), g.Occurrence(), g.StepIndex())
-	factor := guessFactor
+	factor := estimatedFactor
 	if measured {
-		factor = knownFactor
+		factor = measuredFactor
 	}
-	if p.slowness(r.Worker) > slowWorker {
+	if p.slowness(r.Worker) > slowWorkerThreshold {
 		factor = slowWorkerFactor
 	}
 	return time.Duration(p.in.NowMS-r.AtMS)*time.Millisecond > ms(factor*expected)+copySlack
 }
 
-// pays reports whether a copy that begins now is in time, and one that begins much
-// later would not be: in time for the job's objective, or else for what it is worth
-// late. Until then the run may still end by itself, and a copy takes room from others.
-func (p *planner) pays(g *jobs.Group) bool {
+// worthCopying reports whether a copy that starts now finishes in time, while one started much
+// later would not. In time means by the job's objective or, if that can't be met, before the job
+// loses its value. Until then the run may still end by itself, and a copy takes capacity from
+// other tasks.
+func (p *planner) worthCopying(g *jobs.Group) bool {
 	j := g.Job()
 	q := p.in.Config.At(j.Host, j.Prefix)
 	if q == nil {
@@ -69,7 +71,7 @@
 	}
 	expected, _ := p.in.Estimates.taskMS(j, g.Occurrence(), g.StepIndex())
 	f := p.in.Estimates.forecast(j, q, g.Occurrence())
-	// The forecast takes the step for half done; a copy begins anew.
+	// The forecast assumes that the step is half done; a copy starts from the beginning.
 	done := age(j, g.DueAt(), p.in.NowMS) + f.remaining + ms(expected/2)
 	bound := f.deadline
 	if done > bound {
@@ -78,18 +80,18 @@
 	return done <= bound && done+ms(copyMargin*expected) > bound
 }
 
-// copies places second runs for tasks that take too long, on what room is left. A copy
-// is not worth a place that a waiting task could have, so they come last.
-func (p *planner) copies(overdue []jobs.Ref) {
-	for _, ref := range overdue {
-		if p.copied >= maxCopies {
+// placeCopies places copies of overrunning tasks in the remaining capacity. They come last,
+// because a waiting task has precedence over a copy.
+func (p *planner) placeCopies(overrunning []jobs.Ref) {
+	for _, ref := range overrunning {
+		if p.copiesPlaced >= maxCopies {
 			return
 		}
-		p.copy(ref)
+		p.placeCopy(ref)
 	}
 }
 
-func (p *planner) copy(ref jobs.Ref) {
+func (p *planner) placeCopy(ref jobs.Ref) {
 	g := p.in.Jobs.Group(ref)
 	q := p.in.Config.At(g.Job().Host, g.Job().Prefix)
 	if q == nil {
@@ -98,14 +100,14 @@
 	r := request{group: g, queue: q}
 	at := g.Tasks[ref.Index].Placed.Worker
 	c := p.choose(r, ref.Index, p.onWorker(g), true, func(c *candidate) bool {
-		return c.worker.ID != at && !c.looking
+		return c.worker.ID != at && !c.isolated
 	})
-	if c == nil || p.slowness(c.worker.ID) > slowWorker {
+	if c == nil || p.slowness(c.worker.ID) > slowWorkerThreshold {
 		return
 	}
-	c.take(g.Step())
+	c.reserve(g.Step())
 	pl := jobs.Placement{Job: ref.Job, Occurrence: ref.Occurrence, Step: ref.Step, Indexes: []int{ref.Index}, Workers: []string{c.worker.ID}, Copy: true}
 	p.addTicket(&pl, r, c)
 	p.plan.Placements = append(p.plan.Placements, pl)
-	p.copied++
+	p.copiesPlaced++
 }
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -7,7 +7,8 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// fits reports whether one more task of a step has room.
+// fits reports whether a worker has the label, the free capacity and the headroom for one more
+// task of a step.
 func (p *planner) fits(c *candidate, r request, running bool) bool {
 	st := r.group.Step()
 	if st.Label != "" && !c.worker.HasLabel(st.Label) {
@@ -19,39 +20,39 @@
 	if !st.Fills {
 		return true
 	}
-	room := float64(c.free.MilliCPU) + servingSlack*float64(c.servingCPU)
+	available := float64(c.free.MilliCPU) + reclaimableServingShare*float64(c.servingCPU)
 	if !running && p.starved(c, r) {
-		return float64(c.filling+st.Need.MilliCPU) <= crowdFactor*float64(c.worker.Capacity.MilliCPU)
+		return float64(c.filling+st.Need.MilliCPU) <= maxOvercommit*float64(c.worker.Capacity.MilliCPU)
 	}
-	if r.outlook == Overdue {
-		room *= overdueShare
+	if r.class == Overdue {
+		available *= overdueCapacityShare
 	}
-	return float64(c.filling+st.Need.MilliCPU) <= room && p.disturbance(c, st) <= 1
+	return float64(c.filling+st.Need.MilliCPU) <= available && p.interference(c, st) <= 1
 }
 
-// starved reports whether a job with nothing at work has waited for so long that it
-// is let in whatever it disturbs.
+// starved reports whether a job with no running task has waited so long that it is started in
+// spite of its interference.
 func (p *planner) starved(c *candidate, r request) bool {
-	return r.waited > starveWait || (r.waited > startWait && p.sparse[c.worker.Service])
+	return r.waited > starvationWait || (r.waited > lowUtilizationWait && p.underused[c.worker.Service])
 }
 
-// disturbance is what filling work takes of the headroom of the worst served image on a
-// worker, with one more filling task there, against what that bears: above 1 its tail would
-// be over its target. It is 0 where nobody serves.
-func (p *planner) disturbance(c *candidate, st *jobs.Step) float64 {
+// interference returns, with one more filling task of the step on a worker, the headroom taken by
+// filling tasks divided by the headroom that may be taken, for the worst affected serving image.
+// Above 1, that image's tail latency would exceed its target. It is 0 where nothing serves.
+func (p *planner) interference(c *candidate, st *jobs.Step) float64 {
 	if p.in.Costs == nil || p.in.Without.Disturbance {
 		return 0
 	}
 	worst := 0.0
 	for serving := range c.serving {
-		takes, bound := p.adds(c, serving, st)
-		worst = max(worst, (p.taken(c, serving)+takes)/bound)
+		demand, bound := p.headroomDemand(c, serving, st)
+		worst = max(worst, (p.headroomUsed(c, serving)+demand)/bound)
 	}
 	return worst
 }
 
-// taken is the headroom that the filling tasks on a worker take of a served image.
-func (p *planner) taken(c *candidate, serving string) float64 {
+// headroomUsed returns the headroom that the filling tasks on a worker take from a serving image.
+func (p *planner) headroomUsed(c *candidate, serving string) float64 {
 	sum := 0.0
 	for filler, n := range c.fillers {
 		sum += processors(n) * p.in.Costs.Cost(serving, filler)
@@ -59,12 +60,13 @@
 	return sum
 }
 
-// adds returns the headroom that one more task of a step takes of a served image, and that
-// which may be taken of it in all. A pair never seen is tried where the served tasks bear it
-// at this moment, even if it should be one of those that take much: half a second later it
-// is known, and its pace follows. Their usual low would leave hardly a place to try it, and
-// planned by its mean it is tried beside tasks at the height of their load.
-func (p *planner) adds(c *candidate, serving string, st *jobs.Step) (takes, bound float64) {
+// headroomDemand returns the headroom that one more task of a step takes from a serving image,
+// and the headroom that may be taken from it in all. A pair that was never observed is tried
+// where the serving tasks have enough headroom at this moment even for the most that it may take:
+// half a second later its effect is measured and its pace is set accordingly. Checked against the
+// usual bound, there would be hardly any worker to try it on; planned by its mean, it would be
+// tried beside tasks at peak load.
+func (p *planner) headroomDemand(c *candidate, serving string, st *jobs.Step) (demand, bound float64) {
 	need := processors(int(st.Need.MilliCPU))
 	if c.fillers[st.Image] == 0 && !p.in.Without.Tries {
 		if most, unseen := p.in.Costs.Unseen(serving, st.Image); unseen {
@@ -74,74 +76,74 @@
 	return need * p.in.Costs.Cost(serving, st.Image), p.in.Costs.Bound(c.worker.ID, serving)
 }
 
-// disturbed is the same for a serving task that comes to a worker with filling
-// ones.
-func (p *planner) disturbed(c *candidate, st *jobs.Step) float64 {
+// interferenceOn is the same ratio for a serving task that is placed beside a worker's filling
+// tasks.
+func (p *planner) interferenceOn(c *candidate, st *jobs.Step) float64 {
 	if p.in.Costs == nil {
 		return 0
 	}
-	return p.taken(c, st.Image) / p.in.Costs.Bound(c.worker.ID, st.Image)
+	return p.headroomUsed(c, st.Image) / p.in.Costs.Bound(c.worker.ID, st.Image)
 }
 
-// processors turns thousandths into processors.
+// processors converts thousandths of a processor to processors.
 func processors(milli int) float64 { return float64(milli) / 1000 }
 
-// Weights of the cost of a worker. They order workers whose load is alike; a
-// whole step of them outweighs any difference in load, which is at most 2.
+// Terms of a worker's cost in addition to its load. They decide between workers of similar load.
+// Loads, which include the filling tasks, differ by at most 2.
 const (
-	// farCost is for a worker on another rack than the data: the task takes
-	// RemoteFactor (1.5 where it was measured) times as long.
-	farCost = 1.0
-	// slowCost is for a worker whose runs take longer than expected: one that
-	// takes four times as long is taken last.
-	slowCost = 3.0
-	// disturbCost is for the disturbance expected, as a part of what the
-	// disturbed task stands.
-	disturbCost = 2.0
-	// togetherGain draws serving tasks, and tasks that disturb nobody, to the
-	// workers that have serving tasks already, so that the others stay free
-	// for filling ones. Serving tasks are drawn to their like only: where all are disturbed
-	// by the same images, all others may fill.
-	togetherGain = 3.0
+	// remoteRackCost applies to a worker on another rack than the data: the task takes
+	// RemoteFactor (measured: 1.5) times as long.
+	remoteRackCost = 1.0
+	// slowWorkerCost is multiplied by a worker's slowness, so that one whose runs take four times
+	// as long as expected is chosen last.
+	slowWorkerCost = 3.0
+	// interferenceCost is multiplied by the expected interference, as a part of the headroom that
+	// may be taken.
+	interferenceCost = 2.0
+	// colocationGain draws serving tasks, and tasks that interfere with nothing, to workers that
+	// already have serving tasks, so that the others stay free for filling tasks. Serving tasks
+	// are drawn only to similar ones: where the same images interfere with all of them, all other
+	// images may fill.
+	colocationGain = 3.0
 )
 
-// cost grows with the load of a worker, so that work spreads. held is what is held
-// against a suspect, nil for any other task.
-func (p *planner) cost(c *candidate, st *jobs.Step, held *jobs.Suspicion) float64 {
+// cost returns the cost of placing a task of a step on a worker. It grows with the worker's load,
+// so that tasks spread. suspicion is nil unless the task is a suspect.
+func (p *planner) cost(c *candidate, st *jobs.Step, suspicion *jobs.Suspicion) float64 {
 	total := float64(max(c.worker.Capacity.MilliCPU, 1))
 	cost := (total - float64(c.free.MilliCPU) + float64(c.filling)) / total
 	if st.PreferredRack != "" && !c.worker.HasLabel(st.PreferredRack) {
-		cost += farCost
+		cost += remoteRackCost
 	}
-	cost += slowCost * p.slowness(c.worker.ID)
+	cost += slowWorkerCost * p.slowness(c.worker.ID)
 	if st.Fills && len(c.serving) > 0 {
-		cost += disturbCost * p.disturbance(c, st)
+		cost += interferenceCost * p.interference(c, st)
 	}
 	if st.TargetMS > 0 {
-		cost += disturbCost * p.disturbed(c, st)
+		cost += interferenceCost * p.interferenceOn(c, st)
 	}
 	switch {
-	case held != nil:
-		cost += p.doubtCost(c, held)
+	case suspicion != nil:
+		cost += p.suspicionCost(c, suspicion)
 	case !st.Fills && len(c.serving) > 0 && !p.in.Without.Together:
-		cost -= togetherGain * p.alike(c, st)
+		cost -= colocationGain * p.similarity(c, st)
 	}
 	return cost
 }
 
-// alike is how far the serving tasks on a worker are disturbed by the same images as a task of
-// a step: 1 for a task that nobody disturbs.
-func (p *planner) alike(c *candidate, st *jobs.Step) float64 {
+// similarity returns how far the same images interfere with the serving tasks on a worker and
+// with a task of a step: 1 for a task without a latency target.
+func (p *planner) similarity(c *candidate, st *jobs.Step) float64 {
 	if p.in.Costs == nil || st.TargetMS == 0 || p.in.Without.Likes {
 		return 1
 	}
-	return p.alikeTo(c, st.Image)
+	return p.similarityTo(c, st.Image)
 }
 
-// alikeTo is how alike the serving tasks on a worker are to an image.
-func (p *planner) alikeTo(c *candidate, served string) float64 {
+// similarityTo returns the mean similarity of the serving tasks on a worker to an image.
+func (p *planner) similarityTo(c *candidate, served string) float64 {
 	sum, n := 0.0, 0
-	for _, image := range slices.Sorted(maps.Keys(c.serving)) { // sums of floats depend on their order
+	for _, image := range slices.Sorted(maps.Keys(c.serving)) { // sorted, since a sum of floats depends on the order
 		tasks := c.serving[image]
 		sum += float64(tasks) * p.in.Costs.Alike(image, served)
 		n += tasks
--- a/dispatch/durations.go
+++ b/dispatch/durations.go
@@ -8,31 +8,31 @@
 	"github.com/waxwinghaven/waxwinghaven/lessons"
 )
 
-// Durations learns how long tasks really take. What callers declare is off by
-// up to nine times for some queues and by a fifth for others, so each queue's
-// declarations are trusted as far as they proved right.
+// Durations learns how long tasks really take. Declared estimates are off by up to nine times for
+// some queues and by a fifth for others, so each queue's estimates are weighted by how accurate
+// they have been.
 type Durations struct {
-	queues map[string]*record
+	queues map[string]*durationStats
 }
 
-// record is what one queue's tasks showed, all in logarithms of milliseconds.
-type record struct {
-	n      float64
-	actual moments // of durations
-	miss   moments // of duration against estimate
+// durationStats are the statistics of one queue's tasks, as logarithms of milliseconds.
+type durationStats struct {
+	n             float64
+	actual        moments // of durations
+	estimateError moments // duration relative to the estimate
 }
 
-// moments are a running mean and variance that forget slowly.
+// moments are a running mean and mean square in which old samples lose weight.
 type moments struct{ mean, square float64 }
 
 const (
-	// recordMemory is the number of tasks after which an old one has little
-	// weight: the tasks of some tens of jobs.
-	recordMemory = 300
-	// leastSeen is how many tasks are needed before anything is learned.
-	leastSeen = 8
-	// leastSpread keeps a queue of a few equal tasks from being certain.
-	leastSpread = 0.01
+	// statsWindow is the number of tasks after which a sample has little weight: the tasks of a
+	// few tens of jobs.
+	statsWindow = 300
+	// minSamples is how many tasks must be observed before the statistics are used.
+	minSamples = 8
+	// minVariance prevents a few equal samples from counting as certain.
+	minVariance = 0.01
 )
 
 func (m *moments) add(v, n float64) {
@@ -40,58 +40,59 @@
 	m.square += (v*v - m.square) / n
 }
 
-func (m *moments) variance() float64 { return math.Max(m.square-m.mean*m.mean, leastSpread) }
+func (m *moments) variance() float64 { return math.Max(m.square-m.mean*m.mean, minVariance) }
 
-// NewDurations returns a book that knows nothing.
-func NewDurations() *Durations { return &Durations{queues: make(map[string]*record)} }
+// NewDurations returns a Durations without samples.
+func NewDurations() *Durations { return &Durations{queues: make(map[string]*durationStats)} }
 
-// Lessons returns what is known of each queue, in order.
+// Lessons returns the statistics of each queue, ordered by queue.
 func (d *Durations) Lessons() []lessons.Duration {
 	out := make([]lessons.Duration, 0, len(d.queues))
 	for _, queue := range slices.Sorted(maps.Keys(d.queues)) {
 		r := d.queues[queue]
-		out = append(out, lessons.Duration{Queue: queue, N: r.n, Actual: r.actual.mean, ActualSquare: r.actual.square, Miss: r.miss.mean, MissSquare: r.miss.square})
+		out = append(out, lessons.Duration{Queue: queue, N: r.n, Actual: r.actual.mean, ActualSquare: r.actual.square, Miss: r.estimateError.mean, MissSquare: r.estimateError.square})
 	}
 	return out
 }
 
-// Recall takes over what was known of a queue of which nothing is known here.
+// Recall restores the statistics of a queue, unless the queue already has some.
 func (d *Durations) Recall(l lessons.Duration) {
 	if d.queues[l.Queue] == nil {
-		d.queues[l.Queue] = &record{n: l.N, actual: moments{l.Actual, l.ActualSquare}, miss: moments{l.Miss, l.MissSquare}}
+		d.queues[l.Queue] = &durationStats{n: l.N, actual: moments{l.Actual, l.ActualSquare}, estimateError: moments{l.Miss, l.MissSquare}}
 	}
 }
 
-// Note takes in how long one task took that was declared at estimateMS.
+// Note records that a task with an estimate of estimateMS took tookMS. Times of 0 or less are
+// ignored.
 func (d *Durations) Note(queue string, estimateMS, tookMS int64) {
 	if tookMS <= 0 {
 		return
 	}
 	r := d.queues[queue]
 	if r == nil {
-		r = &record{}
+		r = &durationStats{}
 		d.queues[queue] = r
 	}
-	r.n = math.Min(r.n+1, recordMemory)
+	r.n = math.Min(r.n+1, statsWindow)
 	took := math.Log(float64(tookMS))
 	r.actual.add(took, r.n)
 	if estimateMS > 0 {
-		r.miss.add(took-math.Log(float64(estimateMS)), r.n)
+		r.estimateError.add(took-math.Log(float64(estimateMS)), r.n)
 	}
 }
 
-// Expect returns how long a task declared at estimateMS will take, in ms. It
-// weighs the declaration, corrected by what declarations were off on average,
-// against the queue's mean, each by how little it scatters.
+// Expect returns the expected duration of a task with an estimate of estimateMS, in ms. It
+// combines the estimate, corrected by the queue's mean error, with the queue's mean duration,
+// each weighted by the inverse of its variance.
 func (d *Durations) Expect(queue string, estimateMS int64) float64 {
 	r := d.queues[queue]
-	if r == nil || r.n < leastSeen {
+	if r == nil || r.n < minSamples {
 		return float64(max(estimateMS, 1))
 	}
 	if estimateMS <= 0 {
 		return math.Exp(r.actual.mean)
 	}
-	declared := math.Log(float64(estimateMS)) + r.miss.mean
-	trust := r.actual.variance() / (r.actual.variance() + r.miss.variance())
+	declared := math.Log(float64(estimateMS)) + r.estimateError.mean
+	trust := r.actual.variance() / (r.actual.variance() + r.estimateError.variance())
 	return math.Exp(trust*declared + (1-trust)*r.actual.mean)
 }
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -7,115 +7,115 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// Health tells workers that fail or slow down what they run from their peers. A
-// worker that fails everything at once is free at once and draws all work to
-// itself; three failed runs end a job. It is pure: the time is passed.
+// Health detects workers that fail or slow down their runs more than their peers. A worker that
+// fails every run right after its start is always idle and attracts all work, and three failed
+// runs end a job. Health has no clock: the time is passed in.
 type Health struct {
-	workers map[string]*condition
+	workers map[string]*workerHealth
 }
 
-// condition is what a worker's latest runs showed.
-type condition struct {
-	failed float64   // share, of the latest runs
-	slow   float64   // logarithm of their duration against what was expected
-	runs   float64   // runs behind these, up to a few
-	until  time.Time // no new work until then
-	pause  time.Duration
+// workerHealth summarises a worker's latest runs.
+type workerHealth struct {
+	failedShare  float64   // of the latest runs
+	slowness     float64   // logarithm of actual over expected duration
+	runs         float64   // number of runs averaged, at most healthWindow
+	avoidedUntil time.Time // gets no new tasks until then
+	nextPause    time.Duration
 }
 
 const (
-	// healthMemory is the number of runs after which an older one has little
-	// weight: a worker on which everything fails is known after three.
-	healthMemory = 6
-	// failedShare is the share of failed runs from which a worker is left
-	// alone. Tasks' own faults are up to three in a hundred.
-	failedShare = 0.5
-	leastRuns   = 3
-	// firstPause is how long it is left alone before it is tried again; each
-	// time that goes wrong the next is twice as long.
-	firstPause   = 2 * time.Second
-	longestPause = 10 * time.Second
-	// slowBound bounds one run's weight: a hundred times as long is not more
-	// telling than ten times.
-	slowBound = 2.3
-	// mostShunned is the part of a service's workers that may be left alone.
-	// Past it the trouble is not the workers', and the rest would be swamped.
-	mostShunned = 0.4
+	// healthWindow is the number of runs after which an older one has little weight. With it, a
+	// worker that fails every run is detected after three.
+	healthWindow = 6
+	// maxFailedShare is the share of failed runs from which on a worker is avoided. Tasks fail by
+	// their own fault in up to 3 % of runs.
+	maxFailedShare = 0.5
+	minRuns        = 3
+	// firstPause is how long a worker is avoided before it is tried again. Each further time the
+	// pause is twice as long.
+	firstPause = 2 * time.Second
+	maxPause   = 10 * time.Second
+	// maxSlowness limits the weight of one run: 100 times the expected duration tells no more
+	// than 10 times.
+	maxSlowness = 2.3
+	// maxAvoidedShare is the largest part of the workers that may be avoided. If more fail, the
+	// workers are probably not the cause, and the others would be overloaded.
+	maxAvoidedShare = 0.4
 )
 
-// NewHealth returns a book that knows nothing.
-func NewHealth() *Health { return &Health{workers: make(map[string]*condition)} }
+// NewHealth returns a Health without observations.
+func NewHealth() *Health { return &Health{workers: make(map[string]*workerHealth)} }
 
-func (h *Health) of(worker string) *condition {
+func (h *Health) healthOf(worker string) *workerHealth {
 	c := h.workers[worker]
 	if c == nil {
-		c = &condition{pause: firstPause}
+		c = &workerHealth{nextPause: firstPause}
 		h.workers[worker] = c
 	}
 	return c
 }
 
-// NoteEnd takes in the end of a run. tookMS and expectedMS are 0 where they are
-// not known.
+// NoteEnd records the end of a run. tookMS and expectedMS are 0 if they are not known. Outcomes
+// other than done and failed are ignored.
 func (h *Health) NoteEnd(worker string, o jobs.Outcome, tookMS int64, expectedMS float64, now time.Time) {
 	if o != jobs.OutcomeDone && o != jobs.OutcomeFailed {
 		return
 	}
-	c := h.of(worker)
-	c.runs = math.Min(c.runs+1, healthMemory)
-	bad := 0.0
+	c := h.healthOf(worker)
+	c.runs = math.Min(c.runs+1, healthWindow)
+	failure := 0.0
 	if o == jobs.OutcomeFailed {
-		bad = 1
+		failure = 1
 	}
-	c.failed += (bad - c.failed) / c.runs
+	c.failedShare += (failure - c.failedShare) / c.runs
 	if tookMS > 0 && expectedMS > 0 {
 		ratio := math.Log(float64(tookMS) / expectedMS)
-		c.slow += (math.Min(math.Max(ratio, -slowBound), slowBound) - c.slow) / c.runs
+		c.slowness += (math.Min(math.Max(ratio, -maxSlowness), maxSlowness) - c.slowness) / c.runs
 	}
-	h.judge(c, now)
+	h.evaluate(c, now)
 }
 
-// NoteStuck takes in that a run on the worker makes no progress.
+// NoteStuck records that a run on the worker makes no progress.
 func (h *Health) NoteStuck(worker string, now time.Time) {
-	c := h.of(worker)
-	c.runs = math.Min(c.runs+1, healthMemory)
-	c.failed += (1 - c.failed) / c.runs
-	h.judge(c, now)
+	c := h.healthOf(worker)
+	c.runs = math.Min(c.runs+1, healthWindow)
+	c.failedShare += (1 - c.failedShare) / c.runs
+	h.evaluate(c, now)
 }
 
-func (h *Health) judge(c *condition, now time.Time) {
-	if c.runs < leastRuns || c.failed < failedShare || now.Before(c.until) {
+func (h *Health) evaluate(c *workerHealth, now time.Time) {
+	if c.runs < minRuns || c.failedShare < maxFailedShare || now.Before(c.avoidedUntil) {
 		return
 	}
-	c.until = now.Add(c.pause)
-	c.pause = min(2*c.pause, longestPause)
-	c.runs, c.failed = 1, failedShare // two good runs clear it, two bad ones shun it again
+	c.avoidedUntil = now.Add(c.nextPause)
+	c.nextPause = min(2*c.nextPause, maxPause)
+	c.runs, c.failedShare = 1, maxFailedShare // two successful runs clear the worker, two failed ones pause it again
 }
 
-// Slowness returns how much longer a worker's runs take than expected, as a
-// logarithm, 0 if it is not known to be slow.
+// Slowness returns how much longer than expected a worker's runs take, as a natural logarithm. It
+// is 0 if the worker isn't slow or has too few runs.
 func (h *Health) Slowness(worker string) float64 {
 	c := h.workers[worker]
-	if c == nil || c.runs < leastRuns {
+	if c == nil || c.runs < minRuns {
 		return 0
 	}
-	return math.Max(c.slow, 0)
+	return math.Max(c.slowness, 0)
 }
 
-// Shunned returns the workers to be left alone now, but never too large a part
-// of all.
+// Shunned returns the workers to be avoided now. It returns none if they are more than
+// maxAvoidedShare of all workers.
 func (h *Health) Shunned(all int, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for id, c := range h.workers {
-		if now.Before(c.until) {
+		if now.Before(c.avoidedUntil) {
 			out[id] = true
 		}
 	}
-	if float64(len(out)) > mostShunned*float64(all) {
+	if float64(len(out)) > maxAvoidedShare*float64(all) {
 		return nil
 	}
 	return out
 }
 
-// Forget drops a worker that is gone.
+// Forget removes a worker that no longer exists.
 func (h *Health) Forget(worker string) { delete(h.workers, worker) }
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -8,20 +8,21 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// request is a group in the order in which the pass serves it.
+// request is a group with waiting tasks, and what its order within a pass depends on.
 type request struct {
 	group  *jobs.Group
 	queue  *queues.Queue
 	waited time.Duration
-	// choosing is how much of that there was a worker that takes tasks, without a break.
-	choosing time.Duration
-	// outlook and due order the requests of one priority. due is when the job
-	// should be done, in milliseconds since 1970.
-	outlook Outlook
-	due     int64
+	// placeableFor is the part of waited during which, without interruption, there was a worker
+	// that accepts tasks.
+	placeableFor time.Duration
+	// class and due order the requests of one priority. due is when the job should be done, in
+	// milliseconds since 1970.
+	class DeadlineClass
+	due   int64
 }
 
-// requests returns what may begin, in the order of urgency.
+// requests returns the groups whose tasks may start, the most urgent first.
 func (p *planner) requests() []request {
 	var out []request
 	for _, g := range p.in.Jobs.Ready() {
@@ -33,19 +34,19 @@
 		if p.in.Waited != nil {
 			r.waited = p.in.Waited(g)
 		}
-		if r.choosing = r.waited; p.in.Open != nil {
-			r.choosing = min(r.waited, p.in.Open(q.Service))
+		if r.placeableFor = r.waited; p.in.Open != nil {
+			r.placeableFor = min(r.waited, p.in.Open(q.Service))
 		}
-		p.look(&r)
+		p.classify(&r)
 		out = append(out, r)
 	}
 	sort.SliceStable(out, func(i, k int) bool { return before(out[i], out[k]) })
 	return out
 }
 
-// look judges what the job of a request can still come to. Standing tasks have no
-// end, and repeated jobs count from their due time.
-func (p *planner) look(r *request) {
+// classify sets the class and the due time of a request. Standing tasks have no end, so they
+// count from acceptance; repeated jobs count from their due time.
+func (p *planner) classify(r *request) {
 	j := r.group.Job()
 	if p.in.Estimates == nil || r.group.Step().Standing {
 		r.due = j.AcceptedAt
@@ -53,15 +54,14 @@
 	}
 	f := p.in.Estimates.forecast(j, r.queue, r.group.Occurrence())
 	if !p.in.Without.Outlook {
-		r.outlook = f.outlook(age(j, r.group.DueAt(), p.in.NowMS))
+		r.class = f.class(age(j, r.group.DueAt(), p.in.NowMS))
 	}
 	r.due = max(j.AcceptedAt, r.group.DueAt()) + f.deadline.Milliseconds()
 }
 
-// before orders by priority, then by what the jobs can still come to, then by when
-// they should be done. A job that can still be in time goes before one that
-// can't: else, past the room, each waits behind jobs that are
-// late already until it is late itself.
+// before orders requests by priority, then by rank, then by due time. A job that can still be in
+// time goes before one that can't: otherwise, under overload, each job would wait behind late
+// ones until it is late itself.
 func before(a, b request) bool {
 	if a.queue.Priority != b.queue.Priority {
 		return a.queue.Priority < b.queue.Priority
@@ -75,14 +75,14 @@
 	return a.group.Job().Seq < b.group.Job().Seq
 }
 
-// rank is the first word on the order within a priority. Standing tasks come
-// after what can still be in time: where room is short, a processor earns its
-// callers four times as much with short tasks, which give it back soon.
+// rank orders requests of one priority. Standing tasks come after jobs that can still be in time:
+// where capacity is short, a processor is worth four times as much to callers with short tasks,
+// which release it soon.
 func (r *request) rank() int {
 	switch {
 	case r.group.Step().Standing:
-		return int(Fresh)*2 + 1
+		return int(NotStarted)*2 + 1
 	default:
-		return int(r.outlook) * 2
+		return int(r.class) * 2
 	}
 }
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -1,6 +1,6 @@
-// Package dispatch decides which waiting task starts on which worker. It is a
-// pure function from a snapshot of the jobs to a plan; the log re-checks the
-// plan when it is applied.
+// Package dispatch decides which waiting task starts on which worker. It computes a plan from a
+// snapshot of the jobs without changing it; the replicated log checks the plan again when it is
+// applied.
 package dispatch
 
 import (
@@ -16,165 +16,167 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Limits of one pass, so that a pass stays within a few milliseconds however
-// much waits.
+// Limits and thresholds of one pass.
 const (
+	// maxPlacements keeps a pass within a few milliseconds however many tasks wait.
 	maxPlacements = 512
-	// servingSlack is the part of the processors held by serving tasks that
-	// filling ones may count on. Serving tasks use 0.45 of what they ask for,
-	// and swing by half of that.
-	servingSlack = 0.5
-	// sparseUse is the part of a service's processors in use below which a
-	// job with nothing at work is let in however much its tasks may disturb:
-	// with that much room its caller can't be told that there is none.
-	sparseUse = 0.6
-	// startWait is how long a job may have nothing at work where use is
-	// sparse.
-	startWait = time.Second
-	// starveWait is the same however much is in use. An image that disturbs
-	// whoever serves would else never run where all workers do.
-	starveWait = time.Minute
-	// crowdFactor bounds that: filling tasks of this many times a worker's
-	// processors slow each other down by as much.
-	crowdFactor = 2.0
-	// wholeShare is the part of a step that has to fit before a filling job
-	// begins. Past the room, jobs that begin with a task each hold the room
-	// between them and none ends in time.
-	wholeShare = 0.6
-	// overdueShare is the part of the filling room that jobs may have which
-	// are worth nothing to their callers any more. The rest is kept for jobs
-	// that come.
-	overdueShare = 0.7
+	// reclaimableServingShare is the part of the processors held by serving tasks that filling
+	// tasks may use. Serving tasks use 0.45 of what they request on average, and their use varies
+	// by half of that.
+	reclaimableServingShare = 0.5
+	// lowUtilization is the used part of a service's processors below which a job with no running
+	// task is started even if its tasks interfere with serving ones: with that much free capacity
+	// a caller can't be told that there is none.
+	lowUtilization = 0.6
+	// lowUtilizationWait is how long a job may be without a running task while utilization is
+	// below lowUtilization.
+	lowUtilizationWait = time.Second
+	// starvationWait is the same limit at any utilization. Without it, an image that interferes
+	// with every serving task would never run where all workers serve.
+	starvationWait = time.Minute
+	// maxOvercommit limits the filling tasks that are started after such a wait, as a multiple of
+	// a worker's processors. Filling tasks that request that many slow each other down by the
+	// same factor.
+	maxOvercommit = 2.0
+	// minStartShare is the part of a step's waiting tasks that must fit before a filling job
+	// starts. When the service is overloaded, jobs that start with one task each would divide the
+	// capacity between them and none would finish in time.
+	minStartShare = 0.6
+	// overdueCapacityShare is the part of the capacity for filling tasks that jobs of class
+	// Overdue may use. The rest is kept for jobs that arrive later.
+	overdueCapacityShare = 0.7
 )
 
-// Input is what a plan is made from. Nothing of it is changed.
+// Input is the snapshot that a plan is made from. Planning doesn't change it.
 type Input struct {
 	Jobs   *jobs.State
 	Config *queues.Config
-	// NowMS is the time that occurrences are due by, in milliseconds since
-	// 1970.
+	// NowMS is the current time, which due times of occurrences are compared with, in
+	// milliseconds since 1970.
 	NowMS int64
-	// Shunned workers get no new tasks: they rejected some just now, or fail
-	// far more than their peers.
+	// Shunned workers get no new tasks: they rejected some recently, or fail far more often than
+	// their peers.
 	Shunned map[string]bool
-	// Leaving workers get none either: their machines are about to go down.
+	// Leaving workers get no new tasks either: their machines are about to go down.
 	Leaving map[string]bool
 	// DataCentres tells which data centres are out of service, nil for none.
 	DataCentres *datacentre.State
-	// Promised is what standing tasks of jobs that are just being taken in will hold, by
-	// service, in thousandths of a processor.
+	// Promised is the CPU reserved, by service, for standing tasks of jobs that are being
+	// accepted, in thousandths of a processor.
 	Promised map[string]int64
-	// Waited returns how long a group has had tasks that could begin, nil for
-	// no time at all.
+	// Waited returns how long a group has had tasks that are ready to start. Nil means zero.
 	Waited func(*jobs.Group) time.Duration
-	// Open returns for how long a service has had a worker that takes tasks, without a break, nil
-	// for always.
+	// Open returns for how long, without interruption, a service has had a worker that accepts
+	// tasks. Nil means always.
 	Open func(service string) time.Duration
-	// Costs tells whom filling tasks disturb, nil for nobody.
+	// Costs estimates how filling tasks interfere with serving ones, nil for not at all.
 	Costs Costs
-	// Stalled are filling runs that were slowed to a stand.
+	// Stalled are filling runs that were throttled to a standstill.
 	Stalled []jobs.Stop
-	// Stuck are runs at full pace that make no progress.
+	// Stuck are runs that make no progress although they are not throttled.
 	Stuck []jobs.Stop
-	// Estimates tells how long tasks will take, nil to go by acceptance only.
+	// Estimates predicts how long tasks take. If nil, jobs are ordered by acceptance only.
 	Estimates *Estimates
-	// Copies says to look for runs that take too long. It takes a look at each run
-	// that may have a copy, so it isn't done in every pass.
+	// Copies enables the search for runs that take too long. It examines each run that may be
+	// copied, so it isn't done in every pass.
 	Copies bool
-	// Regroup says to look for served tasks that stand among strangers.
+	// Regroup enables moving serving tasks away from dissimilar ones on the same worker.
 	Regroup bool
-	// Ticket returns the advisor's ticket for a step on a worker, "" for none. Steps
-	// of advised queues go nowhere without one.
+	// Ticket returns the advisor's ticket for a step on a worker, "" for none. Steps of queues
+	// with an advisor are placed only with a ticket.
 	Ticket func(step jobs.GroupKey, worker string) string
-	// Slowness returns how much longer a worker's runs take than expected, as
-	// a logarithm, nil for not at all.
+	// Slowness returns how much longer than expected a worker's runs take, as a natural
+	// logarithm. Nil means zero.
 	Slowness func(worker string) float64
-	// Without are the mechanisms that are left out.
+	// Without lists the mechanisms that are switched off.
 	Without ablation.Set
 }
 
-// Costs is what is known of how filling tasks disturb serving ones. Images are
-// what tasks run; tasks of one image behave alike.
+// Costs estimates how filling tasks interfere with serving ones. Tasks are identified by the
+// image that they run; tasks of one image behave alike. Headroom is a serving task's latency
+// target divided by its tail latency.
 type Costs interface {
-	// Cost returns the headroom, target over tail, that one processor of filling
-	// work is expected to take of a serving task.
+	// Cost returns the headroom that one processor of filling work is expected to take from a
+	// serving task.
 	Cost(serving, filling string) float64
-	// Bound returns the headroom that filling work may take of the serving tasks of an
-	// image on a worker.
+	// Bound returns the headroom that filling work may take from the serving tasks of an image on
+	// a worker.
 	Bound(worker, serving string) float64
-	// Unseen reports whether the pair was never seen, and if so the headroom that one
-	// processor takes at most.
+	// Unseen reports whether the pair has never been observed, and if so the most headroom that
+	// one processor may take.
 	Unseen(serving, filling string) (most float64, unseen bool)
-	// Alike returns the probability that two serving images are disturbed by the same
-	// filling ones.
+	// Alike returns the probability that the same filling images interfere with both serving
+	// images.
 	Alike(a, b string) float64
-	// Now returns the headroom that the serving tasks bear at the moment.
+	// Now returns the headroom that the serving tasks of an image on a worker can spare at the
+	// moment.
 	Now(worker, serving string) float64
 }
 
-// planner is the working copy of one pass.
+// planner is the mutable state of one pass.
 type planner struct {
-	in      Input
-	workers map[string][]*candidate // by service
-	sparse  map[string]bool         // services with much room, see sparseUse
-	plan    jobs.Plan
-	placed  int
-	copied  int
-	moved   map[jobs.GroupKey]int // standing tasks that this pass moves
+	in           Input
+	workers      map[string][]*candidate // by service
+	underused    map[string]bool         // services with utilization below lowUtilization
+	plan         jobs.Plan
+	placed       int
+	copiesPlaced int
+	moved        map[jobs.GroupKey]int // standing tasks moved by this pass
 	// suspects are the tasks under which workers crashed.
 	suspects []jobs.Ref
 }
 
-// candidate is a worker with the room it has left in this pass.
+// candidate is a worker that accepts tasks, with the capacity it has left in this pass.
 type candidate struct {
 	worker  *jobs.Worker
 	free    resource.Vector
-	filling int64 // processors promised to filling tasks
-	// serving and fillers count tasks by image; servingCPU is what serving
-	// ones hold. The counts are the snapshot's unless they are owned, see ownCounts.
+	filling int64 // requested by filling tasks, in thousandths of a processor
+	// serving counts tasks, and fillers thousandths of processors, by image. The maps belong to
+	// the snapshot unless owned is set, see ownCounts. servingCPU is what serving tasks hold.
 	serving    map[string]int
 	servingCPU int64
 	fillers    map[string]int
 	owned      bool
 	// standingCPU is what standing tasks hold.
 	standingCPU int64
-	// suspects began there a moment ago or in this pass; looking says that one is looked
-	// at alone there, or soon will be: nothing else begins.
+	// suspects counts the suspects started on the worker recently or in this pass. isolated says
+	// that the worker runs, or is reserved for, a suspect that runs alone: nothing else starts
+	// there.
 	suspects int
-	looking  bool
+	isolated bool
 }
 
-// Next returns the placements for what waits and fits.
+// Next returns the placements, copies and stops of one pass.
 func Next(in Input) jobs.Plan {
 	p := &planner{in: in, plan: jobs.Plan{AtMS: in.NowMS}, moved: make(map[jobs.GroupKey]int)}
-	requests, overdue := p.requests(), p.overdue()
-	if len(requests) == 0 && len(overdue) == 0 && !in.Regroup && len(in.Stalled) == 0 && len(in.Stuck) == 0 && len(p.emptiedWorkers()) == 0 {
+	requests, overrunning := p.requests(), p.overrunning()
+	if len(requests) == 0 && len(overrunning) == 0 && !in.Regroup && len(in.Stalled) == 0 && len(in.Stuck) == 0 && len(p.workersToEvacuate()) == 0 {
 		return p.plan
 	}
-	p.gather()
+	p.collectCandidates()
 	p.suspects = in.Jobs.Suspects()
-	p.noteSuspects()
+	p.markSuspects()
 	if !in.Without.Leaving {
-		p.empty()
+		p.evacuate()
 	}
 	if !in.Without.Moves {
-		p.relieve()
+		p.moveStalled()
 	}
 	p.regroup()
-	p.lookAlone(requests)
+	p.placeIsolatedSuspects(requests)
 	for _, r := range requests {
 		if p.placed >= maxPlacements {
 			break
 		}
 		p.place(r)
 	}
-	p.copies(overdue)
+	p.placeCopies(overrunning)
 	return p.plan
 }
 
-func (p *planner) gather() {
+func (p *planner) collectCandidates() {
 	p.workers = make(map[string][]*candidate)
-	p.sparse = make(map[string]bool)
+	p.underused = make(map[string]bool)
 	capacity, used := make(map[string]int64), make(map[string]int64)
 	ids := make([]string, 0, len(p.in.Jobs.Workers))
 	candidates := make([]candidate, len(p.in.Jobs.Workers))
@@ -195,15 +197,15 @@
 		p.workers[w.Service] = append(p.workers[w.Service], &candidates[i])
 	}
 	for service, total := range capacity {
-		p.sparse[service] = float64(used[service]) < sparseUse*float64(total)
+		p.underused[service] = float64(used[service]) < lowUtilization*float64(total)
 	}
 }
 
 func (p *planner) place(r request) {
 	running := r.group.Job().Active() > 0
-	f := p.fillOn(r, running)
-	if len(f.pl.Indexes) < p.least(r, running) {
-		f.undo(r.group.Step())
+	f := p.assignByRack(r, running)
+	if len(f.pl.Indexes) < p.minPlaced(r, running) {
+		f.release(r.group.Step())
 		return
 	}
 	if len(f.pl.Indexes) > 0 {
@@ -212,53 +214,54 @@
 	}
 }
 
-// filled is the placement of as many tasks of a group as have room.
-type filled struct {
-	pl    jobs.Placement
-	taken []*candidate // by task
+// groupAssignment assigns as many tasks of a group as fit to workers.
+type groupAssignment struct {
+	pl         jobs.Placement
+	candidates []*candidate // by task
 }
 
-func (f *filled) undo(st *jobs.Step) {
-	for _, c := range f.taken {
-		c.giveBack(st)
+func (f *groupAssignment) release(st *jobs.Step) {
+	for _, c := range f.candidates {
+		c.release(st)
 	}
 }
 
-// fill places the waiting tasks of a group on the workers that pass the test, nil for
-// all.
-func (p *planner) fill(r request, running bool, test func(*candidate) bool) filled {
-	f := filled{pl: jobs.Placement{Job: r.group.Job().ID, Occurrence: r.group.Occurrence(), Step: r.group.StepIndex()}}
+// assign places the waiting tasks of a group on the workers that pass the test; a nil test
+// accepts all workers.
+func (p *planner) assign(r request, running bool, test func(*candidate) bool) groupAssignment {
+	f := groupAssignment{pl: jobs.Placement{Job: r.group.Job().ID, Occurrence: r.group.Occurrence(), Step: r.group.StepIndex()}}
 	onWorker := p.onWorker(r.group)
-	alike, best := p.unsuspected(r), &ranking{p: p, r: r, onWorker: onWorker, test: test}
+	identical, best := p.noneSuspected(r), &ranking{p: p, r: r, onWorker: onWorker, test: test}
 	for i := range r.group.Tasks {
-		if t := &r.group.Tasks[i]; t.Done || t.Placed != nil || r.looksAlone(i) || r.awaits(i) {
+		if t := &r.group.Tasks[i]; t.Done || t.Placed != nil || r.needsIsolation(i) || r.awaitsCrashReport(i) {
 			continue
 		}
 		var c *candidate
-		if begun := running || len(f.taken) > 0; alike {
-			c = best.next(begun)
+		if started := running || len(f.candidates) > 0; identical {
+			c = best.next(started)
 		} else {
-			c = p.chooseDoubted(r, i, onWorker, begun, &f, test)
+			c = p.chooseForSuspect(r, i, onWorker, started, &f, test)
 		}
 		if c == nil {
-			break // the tasks of a step are alike: the next would not fit either
+			break // the tasks of a step are identical: the next would not fit either
 		}
-		c.take(r.group.Step())
-		p.began(c, r, i)
+		c.reserve(r.group.Step())
+		p.markPlaced(c, r, i)
 		onWorker[c.worker.ID]++
-		f.taken = append(f.taken, c)
+		f.candidates = append(f.candidates, c)
 		f.pl.Indexes = append(f.pl.Indexes, i)
 		f.pl.Workers = append(f.pl.Workers, c.worker.ID)
 		p.addTicket(&f.pl, r, c)
-		if alike {
-			best.took()
+		if identical {
+			best.updateBest()
 		}
 	}
 	return f
 }
 
-// unsuspected reports whether nothing is held against any task of a step, so that all are alike.
-func (p *planner) unsuspected(r request) bool {
+// noneSuspected reports whether no task of the group is a suspect, so that all are
+// interchangeable.
+func (p *planner) noneSuspected(r request) bool {
 	for i := range r.group.Tasks {
 		if r.group.Doubt(i) != jobs.NoDoubt {
 			return false
@@ -267,11 +270,11 @@
 	return true
 }
 
-// chooseDoubted is choose for a step under which workers crashed.
-func (p *planner) chooseDoubted(r request, k int, onWorker map[string]int, running bool, f *filled, test func(*candidate) bool) *candidate {
+// chooseForSuspect is choose for a group with suspects.
+func (p *planner) chooseForSuspect(r request, k int, onWorker map[string]int, running bool, f *groupAssignment, test func(*candidate) bool) *candidate {
 	return p.choose(r, k, onWorker, running, func(c *candidate) bool {
-		// A gang is suspected as a whole.
-		return (test == nil || test(c)) && (!c.looking || (r.group.Step().Gang && slices.Contains(f.taken, c)))
+		// All tasks of a gang are suspects together, so they may share an isolated worker.
+		return (test == nil || test(c)) && (!c.isolated || (r.group.Step().Gang && slices.Contains(f.candidates, c)))
 	})
 }
 
@@ -286,23 +289,23 @@
 	return out
 }
 
-// least is how many of a group's waiting tasks have to fit for any to be placed.
-func (p *planner) least(r request, running bool) int {
+// minPlaced returns how many of a group's waiting tasks must fit for any to be placed.
+func (p *planner) minPlaced(r request, running bool) int {
 	st := r.group.Step()
 	switch {
 	case st.Gang:
 		return len(r.group.Tasks)
-	case !st.Fills || running || p.in.Without.Whole || p.sparse[r.queue.Service] || r.outlook == Begun || r.waited > starveWait:
+	case !st.Fills || running || p.in.Without.Whole || p.underused[r.queue.Service] || r.class == Started || r.waited > starvationWait:
 		return 1
 	}
-	return int(math.Ceil(wholeShare * float64(r.group.Waiting())))
+	return int(math.Ceil(minStartShare * float64(r.group.Waiting())))
 }
 
-func (c *candidate) take(st *jobs.Step) { c.add(st, 1) }
+func (c *candidate) reserve(st *jobs.Step) { c.adjust(st, 1) }
 
-func (c *candidate) giveBack(st *jobs.Step) { c.add(st, -1) }
+func (c *candidate) release(st *jobs.Step) { c.adjust(st, -1) }
 
-func (c *candidate) add(st *jobs.Step, n int64) {
+func (c *candidate) adjust(st *jobs.Step, n int64) {
 	need := st.Held()
 	c.free.MilliCPU -= n * need.MilliCPU
 	c.free.MemoryMB -= n * need.MemoryMB
@@ -311,16 +314,16 @@
 	case st.TargetMS > 0:
 		c.servingCPU += n * st.Need.MilliCPU
 		c.ownCounts()
-		change(c.serving, st.Image, int(n))
+		adjustCount(c.serving, st.Image, int(n))
 	case st.Fills:
 		c.filling += n * st.Need.MilliCPU
 		c.ownCounts()
-		change(c.fillers, st.Image, int(n*st.Need.MilliCPU))
+		adjustCount(c.fillers, st.Image, int(n*st.Need.MilliCPU))
 	}
 }
 
-// ownCounts copies the counts before the first change. A pass changes a few workers, and a copy
-// for each of a large fleet would cost more than all it decides.
+// ownCounts copies the counts before they are first changed. A pass changes few workers; copying
+// the counts of every worker of a large fleet would cost more than the rest of the pass.
 func (c *candidate) ownCounts() {
 	if c.owned {
 		return
@@ -334,18 +337,18 @@
 	return out
 }
 
-func change(m map[string]int, key string, n int) {
+func adjustCount(m map[string]int, key string, n int) {
 	if m[key] += n; m[key] == 0 {
 		delete(m, key)
 	}
 }
 
-// choose returns the best worker for the k-th task of a step, nil for none. Only those
-// count that pass the test.
+// choose returns the cheapest worker that passes the test for the k-th task of a step, or nil if
+// there is none.
 func (p *planner) choose(r request, k int, onWorker map[string]int, running bool, test func(*candidate) bool) *candidate {
-	var held *jobs.Suspicion
+	var suspicion *jobs.Suspicion
 	if r.group.Doubt(k) != jobs.NoDoubt {
-		held = r.group.Suspicion(k)
+		suspicion = r.group.Suspicion(k)
 	}
 	var best *candidate
 	bestCost := 0.0
@@ -353,15 +356,15 @@
 		if !test(c) || !p.takes(c, r, onWorker, running) {
 			continue
 		}
-		if cost := p.cost(c, r.group.Step(), held); best == nil || cost < bestCost {
+		if cost := p.cost(c, r.group.Step(), suspicion); best == nil || cost < bestCost {
 			best, bestCost = c, cost
 		}
 	}
 	return best
 }
 
-// takes reports whether a worker may have one more task of a step, onWorker being how many
-// each has.
+// takes reports whether a worker can run one more task of a step. onWorker is the number of the
+// group's runs by worker.
 func (p *planner) takes(c *candidate, r request, onWorker map[string]int, running bool) bool {
 	st := r.group.Step()
 	if _, may := p.ticketFor(r, c.worker.ID); !may || !p.fits(c, r, running) {
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -19,46 +19,46 @@
 
 var rules = jobs.Rules{Cordoned: func(string) bool { return false }, Service: func(string, string) string { return "vault" }, MaxAttempts: func(string, string) int { return 3 }}
 
-// declared believes what callers declare.
-type declared struct{}
+// declaredDurations expects tasks to take as long as declared.
+type declaredDurations struct{}
 
-func (declared) Expect(_ string, estimateMS int64) float64 { return float64(estimateMS) }
+func (declaredDurations) Expect(_ string, estimateMS int64) float64 { return float64(estimateMS) }
 
-// table is what is known of who disturbs whom.
-type table map[[2]string]float64
+// costTable maps pairs of a serving and a filling image to costs.
+type costTable map[[2]string]float64
 
-func (t table) Cost(serving, filling string) float64 { return t[[2]string{serving, filling}] }
-func (t table) Bound(string, string) float64         { return 1 }
-func (t table) Now(string, string) float64           { return 1 }
-func (t table) Alike(a, b string) float64 {
+func (t costTable) Cost(serving, filling string) float64 { return t[[2]string{serving, filling}] }
+func (t costTable) Bound(string, string) float64         { return 1 }
+func (t costTable) Now(string, string) float64           { return 1 }
+func (t costTable) Alike(a, b string) float64 {
 	if a == b {
 		return 1
 	}
 	return 0.5
 }
 
-func (t table) Unseen(string, string) (float64, bool) { return 0, false }
+func (t costTable) Unseen(string, string) (float64, bool) { return 0, false }
 
-// scene is a state with helpers to fill it.
-type scene struct {
+// harness is a job state with helpers that change it and run passes.
+type harness struct {
 	*jobs.State
 	t     testing.TB
 	index uint64
 	in    Input
 }
 
-func newScene(t testing.TB, workers int) *scene {
-	s := &scene{State: jobs.NewState(), t: t}
+func newHarness(t testing.TB, workers int) *harness {
+	s := &harness{State: jobs.NewState(), t: t}
 	for i := range workers {
 		s.index++
 		s.ApplyRegister(jobs.Worker{ID: fmt.Sprintf("w%d", i), Agent: fmt.Sprint(i), Life: "1", Service: "vault",
 			Labels: []string{"a", fmt.Sprintf("r%d", i)}, Rack: fmt.Sprintf("r%d", i/2), Capacity: resource.Vector{MilliCPU: 10_000, MemoryMB: 10_000}}, s.index)
 	}
-	s.in = Input{Jobs: s.State, Config: &config, Estimates: &Estimates{Durations: declared{}}}
+	s.in = Input{Jobs: s.State, Config: &config, Estimates: &Estimates{Durations: declaredDurations{}}}
 	return s
 }
 
-func (s *scene) submit(n int, prefix string, atMS int64, steps ...jobs.Step) string {
+func (s *harness) submit(n int, prefix string, atMS int64, steps ...jobs.Step) string {
 	s.t.Helper()
 	s.index++
 	id := fmt.Sprintf("%016x", n)
@@ -68,14 +68,14 @@
 	return id
 }
 
-// pass plans and applies once, and returns the tasks placed of each job.
-func (s *scene) pass() map[string]int {
+// pass computes and applies one plan, and returns the number of tasks placed by job.
+func (s *harness) pass() map[string]int {
 	s.t.Helper()
 	plan := Next(s.in)
 	s.index++
 	_, stale := s.ApplyPlan(plan, rules, s.index)
 	if stale > 0 {
-		s.t.Fatalf("%d placements of a plan for this very state did not hold", stale)
+		s.t.Fatalf("%d placements of a plan for the current state were rejected", stale)
 	}
 	out := make(map[string]int)
 	for _, p := range plan.Placements {
@@ -84,7 +84,7 @@
 	return out
 }
 
-func (s *scene) endAll(job string, step int) {
+func (s *harness) endAll(job string, step int) {
 	for i := range s.Jobs[job].Group(0, step).Tasks {
 		ref := jobs.Ref{Job: job, Step: step, Index: i}
 		if r := s.Jobs[job].Group(0, step).Tasks[i].Placed; r != nil {
@@ -111,7 +111,7 @@
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	s := newScene(t, 1)
+	s := newHarness(t, 1)
 	render := s.submit(1, "/renders/", 0, task(1, 8000, 1000))
 	title := s.submit(2, "/titles/", 1, task(1, 8000, 1000))
 	if got := s.pass(); got[title] != 1 || got[render] != 0 {
@@ -120,65 +120,64 @@
 }
 
 func TestLabelsRacksAndBoundsPerWorker(t *testing.T) {
-	s := newScene(t, 3)
+	s := newHarness(t, 3)
 	labelled := task(1, 1000, 100)
 	labelled.Label = "r1"
-	near := task(1, 1000, 100)
-	near.PreferredRack = "r2"
-	apart := task(4, 100, 100)
-	apart.MaxPerWorker = 1
-	a, b, c := s.submit(1, "/titles/", 0, labelled), s.submit(2, "/titles/", 0, near), s.submit(3, "/titles/", 0, apart)
+	preferring := task(1, 1000, 100)
+	preferring.PreferredRack = "r2"
+	spread := task(4, 100, 100)
+	spread.MaxPerWorker = 1
+	a, b, c := s.submit(1, "/titles/", 0, labelled), s.submit(2, "/titles/", 0, preferring), s.submit(3, "/titles/", 0, spread)
 	got := s.pass()
 	if s.Jobs[a].Group(0, 0).Tasks[0].Placed.Worker != "w1" || s.Jobs[b].Group(0, 0).Tasks[0].Placed.Worker != "w2" {
-		t.Error("a label or rack was not kept to")
+		t.Error("a label or preferred rack was ignored")
 	}
 	if got[c] != 3 {
-		t.Errorf("%d of 4 tasks were placed one a worker on 3", got[c])
+		t.Errorf("%d of 4 tasks were placed on 3 workers with at most one on each", got[c])
 	}
 }
 
-// A render that disturbs a watcher is placed beside it because its worker has the
-// most room; the watcher's users wait, and the agent stops the render. It must
-// go where it disturbs nobody, and wait if there is no such place.
-func TestFillingTaskKeepsAwayFromThoseItDisturbs(t *testing.T) {
-	s := newScene(t, 2)
-	s.in.Costs = table{{"watch", "heavy"}: 2, {"watch", "light"}: 0.01}
+// Guards against placing a filling task beside a serving task that it interferes with, because
+// that worker has the most free capacity: users wait, and the agent stops the filling task. It
+// must go where it interferes with nothing, and wait if there is no such worker.
+func TestFillingTaskAvoidsServicesItDisturbs(t *testing.T) {
+	s := newHarness(t, 2)
+	s.in.Costs = costTable{{"watch", "heavy"}: 2, {"watch", "light"}: 0.01}
 	s.submit(1, "/titles/", 0, serving(1, 1000, "watch"))
 	s.pass()
 	watched := s.Jobs[fmt.Sprintf("%016x", 1)].Group(0, 0).Tasks[0].Placed.Worker
 	heavy := s.submit(2, "/renders/", 0, filling(3, 5000, 1000, "heavy"))
 	if got := s.pass(); got[heavy] != 2 {
-		t.Fatalf("%d of 3 heavy tasks were placed where there is room for 2 apart", got[heavy])
+		t.Fatalf("%d of 3 heavy tasks were placed, want the 2 that fit apart from the serving task", got[heavy])
 	}
 	for i, task := range s.Jobs[heavy].Group(0, 0).Tasks {
 		if task.Placed != nil && task.Placed.Worker == watched {
-			t.Errorf("heavy task %d was placed beside the watcher", i)
+			t.Errorf("heavy task %d was placed beside the serving task", i)
 		}
 	}
 	light := s.submit(3, "/renders/", 0, filling(1, 3000, 1000, "light"))
 	if got := s.pass(); got[light] != 1 {
-		t.Error("a task that disturbs nobody was kept out")
+		t.Error("a task that interferes with nothing was not placed")
 	}
 }
 
-// Past the room jobs come faster than they can be done. Those that are late
-// already must not hold up the ones that can still be in time, and what has begun
-// is finished before anything new begins.
-func TestOutlookOrdersJobs(t *testing.T) {
-	s := newScene(t, 1)
+// Guards against late jobs delaying jobs that can still be in time when jobs arrive faster than
+// they can be run, and against starting new jobs before started ones are finished.
+func TestDeadlineClassOrdersJobs(t *testing.T) {
+	s := newHarness(t, 1)
 	s.in.NowMS = 60_000
 	overdue := s.submit(1, "/renders/", 0, filling(2, 5000, 1000, "x"))
 	late := s.submit(2, "/renders/", 55_500, filling(2, 5000, 1000, "x"))
-	fresh := s.submit(3, "/renders/", 59_000, filling(2, 5000, 1000, "x"))
+	notStarted := s.submit(3, "/renders/", 59_000, filling(2, 5000, 1000, "x"))
 	two := filling(2, 5000, 1000, "x")
 	two.DependsOn = []int{0}
-	begun := s.submit(4, "/renders/", 59_900, filling(1, 5000, 1000, "x"), two)
-	s.in.Jobs.ApplyPlan(jobs.Plan{Placements: []jobs.Placement{{Job: begun, Indexes: []int{0}, Workers: []string{"w0"}}}}, rules, 100)
-	s.endAll(begun, 0)
-	for _, want := range []string{begun, fresh, late, overdue} {
+	started := s.submit(4, "/renders/", 59_900, filling(1, 5000, 1000, "x"), two)
+	s.in.Jobs.ApplyPlan(jobs.Plan{Placements: []jobs.Placement{{Job: started, Indexes: []int{0}, Workers: []string{"w0"}}}}, rules, 100)
+	s.endAll(started, 0)
+	for _, want := range []string{started, notStarted, late, overdue} {
 		got := s.pass()
 		if len(got) != 1 || got[want] == 0 {
-			t.Fatalf("placed %v, %s was next", got, want)
+			t.Fatalf("placed %v, want %s next", got, want)
 		}
 		for i := range s.Jobs[want].Groups {
 			s.endAll(want, i)
@@ -189,11 +188,11 @@
 	}
 }
 
-// Ten renders come at once where three fit. Begun with a task each they hold the
-// room between them and end together, late. Begun whole, three end in time.
-func TestJobsBeginWhole(t *testing.T) {
-	s := newScene(t, 3)
-	// Held by others, so that use is not sparse.
+// Ten filling jobs arrive together where three fit. Started with one task each, they share the
+// capacity and all end late. Started with most of their tasks, three end in time.
+func TestJobsStartWithMostOfTheirTasks(t *testing.T) {
+	s := newHarness(t, 3)
+	// Other tasks hold capacity, so that utilization is not below lowUtilization.
 	s.submit(99, "/titles/", 0, task(3, 6500, 0))
 	s.pass()
 	for i := range 10 {
@@ -202,57 +201,57 @@
 	got := s.pass()
 	for id, n := range got {
 		if n < 2 {
-			t.Errorf("job %s began with %d of 3 tasks", id, n)
+			t.Errorf("job %s started with %d of 3 tasks", id, n)
 		}
 	}
 	if len(got) > 4 {
-		t.Errorf("%d jobs began in room for 9 tasks", len(got))
+		t.Errorf("%d jobs started with capacity for 9 tasks", len(got))
 	}
 }
 
-// The workers are half empty, but every one serves somebody whom the last job's
-// tasks would disturb. Its caller sees nothing happen for seconds while there is
-// room. One task of it must get in.
-func TestWaitingJobGetsInWhereUseIsSparse(t *testing.T) {
-	s := newScene(t, 1)
-	s.in.Costs = table{{"watch", "heavy"}: 5}
+// The workers are half empty, but each runs a serving task that the last job's tasks interfere
+// with. Its caller would see no progress for seconds although there is free capacity. One of its
+// tasks must start.
+func TestWaitingJobStartsAtLowUtilization(t *testing.T) {
+	s := newHarness(t, 1)
+	s.in.Costs = costTable{{"watch", "heavy"}: 5}
 	s.submit(1, "/titles/", 0, serving(1, 1000, "watch"))
 	s.pass()
 	heavy := s.submit(2, "/renders/", 0, filling(3, 1000, 1000, "heavy"))
 	if got := s.pass(); got[heavy] != 0 {
-		t.Fatal("it was let in at once")
+		t.Fatal("it was started without waiting")
 	}
-	s.in.Waited = func(*jobs.Group) time.Duration { return 2 * startWait }
+	s.in.Waited = func(*jobs.Group) time.Duration { return 2 * lowUtilizationWait }
 	if got := s.pass(); got[heavy] != 1 {
-		t.Fatalf("%d tasks were let in after the wait", got[heavy])
+		t.Fatalf("%d tasks were started after the wait", got[heavy])
 	}
 }
 
-// All workers serve, are well used, and an image disturbs whoever serves. Its jobs
-// would wait for ever: late they are, but never is worse.
-func TestNobodyStarvesForGood(t *testing.T) {
-	s := newScene(t, 1)
-	s.in.Costs = table{{"watch", "heavy"}: 5}
+// All workers run serving tasks and are well used, and an image interferes with every serving
+// task. Without starvationWait its jobs would never run.
+func TestStarvedJobStartsEventually(t *testing.T) {
+	s := newHarness(t, 1)
+	s.in.Costs = costTable{{"watch", "heavy"}: 5}
 	s.submit(1, "/titles/", 0, serving(1, 8000, "watch"))
 	s.pass()
 	heavy := s.submit(2, "/renders/", 0, filling(3, 1000, 1000, "heavy"))
 	for _, c := range []struct {
 		waited time.Duration
 		want   int
-	}{{2 * startWait, 0}, {starveWait + time.Second, 1}} {
+	}{{2 * lowUtilizationWait, 0}, {starvationWait + time.Second, 1}} {
 		s.in.Waited = func(*jobs.Group) time.Duration { return c.waited }
 		if got := s.pass()[heavy]; got != c.want {
-			t.Errorf("after %v %d tasks were let in, want %d", c.waited, got, c.want)
+			t.Errorf("after %v %d tasks were started, want %d", c.waited, got, c.want)
 		}
 	}
 }
 
-// A render is slowed to a stand beside a watcher and holds its job up. It is
-// moved where it disturbs nobody, but stays if there is no such place.
+// A filling run is throttled to a standstill beside a serving task and delays its job. It is
+// moved to a worker where it interferes with nothing, and stays if there is none.
 func TestStalledRunIsMoved(t *testing.T) {
 	for _, workers := range []int{1, 2} {
-		s := newScene(t, workers)
-		s.in.Costs = table{{"watch", "heavy"}: 5}
+		s := newHarness(t, workers)
+		s.in.Costs = costTable{{"watch", "heavy"}: 5}
 		render := s.submit(2, "/renders/", 0, filling(1, 1000, 1000, "heavy"))
 		s.pass()
 		at := s.Jobs[render].Group(0, 0).Tasks[0].Placed
@@ -262,16 +261,16 @@
 		s.in.Stalled = []jobs.Stop{{Task: jobs.Ref{Job: render}, Run: at.Run}}
 		plan := Next(s.in)
 		if got, want := len(plan.Stops), workers-1; got != want {
-			t.Errorf("%d workers: %d runs are stopped, want %d", workers, got, want)
+			t.Errorf("%d workers: %d runs were stopped, want %d", workers, got, want)
 		}
 	}
 }
 
-// A worker says that it leaves. What lasts must be moved while it can be, the rest may
-// end there; with no room elsewhere all of it stays.
+// A worker announces that it will leave. Its standing tasks must be moved while that is possible;
+// the others may end there. Without capacity elsewhere all of them stay.
 func TestStandingTaskLeavesAWorkerThatDrains(t *testing.T) {
 	for _, workers := range []int{1, 2} {
-		s := newScene(t, workers)
+		s := newHarness(t, workers)
 		watch := s.submit(1, "/titles/", 0, serving(1, 1000, "watch"))
 		render := s.submit(2, "/renders/", 0, filling(1, 1000, 1000, "light"))
 		title := s.submit(3, "/titles/", 0, task(1, 1000, 1000))
@@ -287,15 +286,15 @@
 		for _, st := range Next(s.in).Stops {
 			stopped[st.Task.Job] = true
 		}
-		room := workers > 1
-		if stopped[watch] != room || stopped[render] || stopped[title] {
-			t.Errorf("%d workers: stopped are %v", workers, stopped)
+		hasCapacity := workers > 1
+		if stopped[watch] != hasCapacity || stopped[render] || stopped[title] {
+			t.Errorf("%d workers: stopped tasks: %v", workers, stopped)
 		}
 	}
 }
 
 func TestDueTasksWaitForTheirTime(t *testing.T) {
-	s := newScene(t, 1)
+	s := newHarness(t, 1)
 	s.index++
 	spec := jobs.Spec{Steps: []jobs.Step{task(1, 100, 10)}, Repeat: 2, StartAt: 5000, Every: 1000}
 	if err := s.ApplySubmit(jobs.Submit{ID: "00000000000000aa", Host: host, Prefix: "/titles/", Spec: spec}, s.index, 0); err != nil {
@@ -307,36 +306,35 @@
 	}{{4999, 0}, {5000, 1}, {5999, 0}, {6000, 1}} {
 		s.in.NowMS = c.now
 		if got := s.pass()["00000000000000aa"]; got != c.want {
-			t.Errorf("at %d: %d tasks begin, want %d", c.now, got, c.want)
+			t.Errorf("at %d: %d tasks started, want %d", c.now, got, c.want)
 		}
 	}
 }
 
-func TestDurationsTrustWhatProvedRight(t *testing.T) {
+func TestDurationsWeighDeclarationsByAccuracy(t *testing.T) {
 	d := NewDurations()
 	if got := d.Expect("new", 700); got != 700 {
-		t.Errorf("a queue never seen: %v", got)
+		t.Errorf("an unknown queue: %v", got)
 	}
 	for i := range 100 {
-		// One queue's declarations are off by up to eight times, both ways;
-		// its tasks all take 2 s. The other's are right, its tasks differ.
+		// The first queue's estimates are off by up to eight times in both directions;
+		// its tasks all take 2 s. The second's are exact, and its durations vary.
 		d.Note("wild", 250<<(i%6), 2000)
 		d.Note("good", int64(100*(1+i%9)), int64(100*(1+i%9)))
 	}
 	if got := d.Expect("wild", 16_000); got < 1800 || got > 2600 {
-		t.Errorf("a wild declaration of 16 s where all take 2 s: %.0f ms", got)
+		t.Errorf("an inaccurate estimate of 16 s where all tasks take 2 s: %.0f ms", got)
 	}
 	if got := d.Expect("good", 800); got < 700 || got > 900 {
-		t.Errorf("a good declaration of 800 ms: %.0f ms", got)
+		t.Errorf("an accurate estimate of 800 ms: %.0f ms", got)
 	}
 }
 
-// A burst of renders comes, ten times what the workers can do in the time that
-// callers give them. Those that can't be in time even for a part are refused at
-// once with a time to come back, those that can are taken; none is refused while
-// little is accepted.
+// A burst of filling jobs arrives, ten times what the workers can do in time. Jobs that can't
+// keep any of their value are refused at submission with a time to retry; the others are
+// accepted, and none is refused while little work is accepted.
 func TestAdmissionUnderABurst(t *testing.T) {
-	s := newScene(t, 2)
+	s := newHarness(t, 2)
 	q := &config.Queues[1]
 	spec := &jobs.Spec{Steps: []jobs.Step{filling(4, 5000, 2000, "x")}}
 	taken, refused := 0, 0
@@ -344,56 +342,57 @@
 		v := Admit(s.in, q, spec)
 		if v.Refuse {
 			refused++
-			if v.After <= 0 || v.After > longestAfter || v.Expected <= v.Objective {
-				t.Fatalf("refused with %+v", v)
+			if v.After <= 0 || v.After > maxRetryAfter || v.Expected <= v.Objective {
+				t.Fatalf("refused with the verdict %+v", v)
 			}
 			continue
 		}
 		if refused > 0 {
-			t.Fatal("a job was taken behind one that was refused, with the same work ahead")
+			t.Fatal("a job was accepted after one was refused with the same work ahead")
 		}
 		taken++
 		s.submit(i, "/renders/", 0, spec.Steps...)
 	}
-	// 20 processors do one such job of 40 core-seconds in 2 s; the objective
-	// is 5 s, and a job is worth something until 15 s.
+	// 20 processors run one such job of 40 core-seconds in 2 s; the objective
+	// is 5 s, and a job keeps some value until 15 s.
 	if taken < 3 || taken > 12 {
-		t.Errorf("%d jobs were taken, %d refused", taken, refused)
+		t.Errorf("%d jobs were accepted, %d refused", taken, refused)
 	}
 	watchers := &jobs.Spec{Steps: []jobs.Step{serving(1, 1000, "watch")}}
 	if Admit(s.in, q, watchers).Refuse {
-		t.Error("standing tasks were refused for the work ahead")
+		t.Error("standing tasks were refused because of the work ahead")
 	}
 }
 
-// Standing jobs were taken in and have no place yet: a pass is about to place them. The next one
-// must find the room that they leave, not that of empty workers.
+// Guards against accepting too many standing jobs: those that were accepted but are not placed
+// yet hold capacity for the next one's admission.
 func TestStandingTasksWithoutAPlaceCountAsHeld(t *testing.T) {
-	s := newScene(t, 2) // 20 processors, of which standing tasks may hold 15
+	s := newHarness(t, 2) // 20 processors, 15 of which standing tasks may hold
 	q := &config.Queues[0]
 	spec := &jobs.Spec{Steps: []jobs.Step{serving(2, 4000, "watch")}}
 	if v := Admit(s.in, q, spec); v.Refuse {
-		t.Fatalf("the first is refused: %s", v.Reason())
+		t.Fatalf("the first job is refused: %s", v.Reason())
 	}
 	s.submit(1, "/titles/", 0, spec.Steps...)
 	if v := Admit(s.in, q, spec); !v.Refuse {
-		t.Error("the second is taken too")
+		t.Error("the second job is accepted too")
 	}
 	small := &jobs.Spec{Steps: []jobs.Step{serving(1, 4000, "watch")}}
 	s.in.Promised = map[string]int64{"vault": 4000}
 	if v := Admit(s.in, q, small); !v.Refuse {
-		t.Error("what is promised to a call under way is given away")
+		t.Error("CPU reserved for a submission in progress is given to another job")
 	}
 	s.in.Promised = nil
 	if v := Admit(s.in, q, small); v.Refuse {
-		t.Errorf("what fits is refused: %s", v.Reason())
+		t.Errorf("a job that fits is refused: %s", v.Reason())
 	}
 }
 
-// The tasks of a step talk to each other, and on two racks each takes longer. They go
-// to the rack that takes all of them, wait a moment for one, and spread if none comes.
-func TestTasksThatBelongTogetherGoToOneRack(t *testing.T) {
-	s := newScene(t, 4) // two racks of two workers with 10 processors each
+// The tasks of a step communicate with each other, and each takes longer if they are on two
+// racks. They go to a rack that has capacity for all of them, wait briefly for one, and spread if
+// none becomes available.
+func TestRackSensitiveTasksGoToOneRack(t *testing.T) {
+	s := newHarness(t, 4) // two racks of two workers with 10 processors each
 	s.submit(1, "/titles/", 1000, task(1, 6000, 1000))
 	s.pass()
 	st := task(4, 5000, 1000)
@@ -404,54 +403,54 @@
 	}
 	for _, x := range s.Jobs[job].Group(0, 0).Tasks {
 		if rack := s.Workers[x.Placed.Worker].Rack; rack != "r1" {
-			t.Fatalf("a task went to %s of rack %s", x.Placed.Worker, rack)
+			t.Fatalf("a task was placed on %s of rack %s", x.Placed.Worker, rack)
 		}
 	}
 	waits := s.submit(3, "/titles/", 1000, st)
 	if got := s.pass()[waits]; got != 0 {
-		t.Fatalf("%d tasks were placed at once where no rack has room for all", got)
+		t.Fatalf("%d tasks were placed without waiting although no rack has capacity for all", got)
 	}
 	s.in.Waited = func(*jobs.Group) time.Duration { return 2 * rackWait }
 	if got := s.pass()[waits]; got != 2 {
-		t.Fatalf("%d tasks were placed after the wait, there is room for 2", got)
+		t.Fatalf("%d tasks were placed after the wait, there is capacity for 2", got)
 	}
 }
 
-// untried is what is known where nothing is: one processor may take 0.2 of headroom, and
-// the watcher on each worker bears something else at the moment.
-type untried map[string]float64
+// unseenCosts are the costs where no pair has been observed: one processor takes at most 0.2 of
+// headroom. It maps workers to the headroom that their serving tasks can spare at the moment.
+type unseenCosts map[string]float64
 
-func (u untried) Cost(string, string) float64  { return 0.05 }
-func (u untried) Bound(string, string) float64 { return 1 }
-func (u untried) Alike(a, b string) float64    { return 0.5 }
+func (u unseenCosts) Cost(string, string) float64  { return 0.05 }
+func (u unseenCosts) Bound(string, string) float64 { return 1 }
+func (u unseenCosts) Alike(a, b string) float64    { return 0.5 }
 
-func (u untried) Now(worker, _ string) float64          { return u[worker] }
-func (u untried) Unseen(string, string) (float64, bool) { return 0.2, true }
+func (u unseenCosts) Now(worker, _ string) float64          { return u[worker] }
+func (u unseenCosts) Unseen(string, string) (float64, bool) { return 0.2, true }
 
-// A render's image was never seen beside a watcher. It may take all that the watcher has:
-// tried beside one at the height of its load it costs that one's users half a second over
-// target before anybody knows. One task is tried where the watcher bears the worst at this
-// moment, and the next ones wait until that has told.
+// A filling image was never observed beside a serving one and may take all its headroom: tried at
+// peak load, users would wait half a second over target before that is detected. One task is
+// tried where the serving task has headroom for the worst case, and the others wait for the
+// measurement.
 func TestAnUnseenPairIsTriedWhereItIsHarmless(t *testing.T) {
-	s := newScene(t, 2)
+	s := newHarness(t, 2)
 	s.submit(1, "/titles/", 0, serving(2, 6000, "watch"))
 	s.pass()
-	s.in.Costs = untried{"w1": 0.4, "w2": 2}
+	s.in.Costs = unseenCosts{"w1": 0.4, "w2": 2}
 	for _, task := range s.Jobs[fmt.Sprintf("%016x", 1)].Group(0, 0).Tasks {
 		if task.Placed == nil {
-			t.Fatal("the watchers are not placed")
+			t.Fatal("the serving tasks are not placed")
 		}
 	}
 	fresh := s.submit(2, "/renders/", 0, filling(3, 5000, 1000, "fresh"))
 	s.pass()
 	for i, task := range s.Jobs[fresh].Group(0, 0).Tasks {
 		if task.Placed != nil && task.Placed.Worker == "w1" {
-			t.Errorf("task %d is tried beside the watcher that bears 0.4", i)
+			t.Errorf("task %d is tried beside the serving task that can spare only 0.4", i)
 		}
 	}
-	s.in.Costs = untried{"w1": 0.4, "w2": 0.4}
+	s.in.Costs = unseenCosts{"w1": 0.4, "w2": 0.4}
 	other := s.submit(3, "/renders/", 0, filling(1, 5000, 1000, "other"))
 	if got := s.pass(); got[other] != 0 {
-		t.Error("it is tried though no watcher bears it")
+		t.Error("it is tried although no serving task has enough headroom")
 	}
 }
--- a/dispatch/ranking.go
+++ b/dispatch/ranking.go
@@ -2,21 +2,22 @@
 
 import "container/heap"
 
-// ranking orders the workers that may have a task of a step by what that costs, for tasks that
-// are alike. A task that is placed changes its own worker only, so each next one takes a look at
-// that worker and not at all of them: steps have dozens of tasks, and fleets thousands of workers.
+// ranking orders the workers by the cost of placing a task of a step, for tasks that are
+// interchangeable. Placing a task changes the cost of its worker only, so for the next task only
+// that worker is evaluated again. Steps have dozens of tasks and fleets thousands of workers, so
+// evaluating all workers for each task would be too slow.
 type ranking struct {
 	p        *planner
 	r        request
 	onWorker map[string]int
 	test     func(*candidate) bool // nil for all
 
-	running bool // whether the job had something at work when it was built
+	running bool // whether the job had a running task when the ranking was built
 	built   bool
 	best    ranks
 }
 
-// ranked is a worker with its cost and its place among all, which decides between equal costs.
+// ranked is a worker with its cost and its position among all workers, which breaks ties.
 type ranked struct {
 	cost  float64
 	place int
@@ -25,7 +26,7 @@
 
 // next returns the best worker, nil for none. It is the one that choose would return.
 func (k *ranking) next(running bool) *candidate {
-	// Only filling work is let in differently while its job has nothing at work.
+	// Whether the job has a running task affects only where filling tasks fit.
 	if !k.built || (k.running != running && k.r.group.Step().Fills) {
 		k.build(running)
 	}
@@ -40,7 +41,7 @@
 	all := k.p.workers[k.r.queue.Service]
 	k.best = make(ranks, 0, len(all))
 	for place, c := range all {
-		if c.looking || (k.test != nil && !k.test(c)) || !k.p.takes(c, k.r, k.onWorker, running) {
+		if c.isolated || (k.test != nil && !k.test(c)) || !k.p.takes(c, k.r, k.onWorker, running) {
 			continue
 		}
 		k.best = append(k.best, ranked{k.p.cost(c, k.r.group.Step(), nil), place, c})
@@ -48,8 +49,8 @@
 	heap.Init(&k.best)
 }
 
-// took says that the best worker has been given a task.
-func (k *ranking) took() {
+// updateBest evaluates the best worker again after it was given a task.
+func (k *ranking) updateBest() {
 	top := &k.best[0]
 	if !k.p.takes(top.c, k.r, k.onWorker, k.running) {
 		heap.Pop(&k.best)
@@ -59,7 +60,7 @@
 	heap.Fix(&k.best, 0)
 }
 
-// ranks is a heap with the best worker first.
+// ranks is a heap with the cheapest worker first.
 type ranks []ranked
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
--- a/dispatch/ranking_test.go
+++ b/dispatch/ranking_test.go
@@ -9,10 +9,10 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// randomLoad puts serving, filling and other tasks on a few workers.
-func randomLoad(t *testing.T, rng *rand.Rand) *scene {
-	s := newScene(t, 2+rng.Intn(12))
-	s.in.Costs = table{{"watch", "heavy"}: 0.4, {"watch", "light"}: 0.01, {"guard", "heavy"}: 0.1}
+// randomLoad submits serving, filling and other tasks to a few workers.
+func randomLoad(t *testing.T, rng *rand.Rand) *harness {
+	s := newHarness(t, 2+rng.Intn(12))
+	s.in.Costs = costTable{{"watch", "heavy"}: 0.4, {"watch", "light"}: 0.01, {"guard", "heavy"}: 0.1}
 	slow := rng.Intn(3)
 	s.in.Slowness = func(worker string) float64 {
 		if worker == fmt.Sprint("w", slow) {
@@ -45,31 +45,31 @@
 	return st
 }
 
-// Guards against a ranking that has gone stale: each worker that it names must be the one that a
-// look at all workers finds.
-func TestRankingNamesTheWorkerThatALookAtAllFinds(t *testing.T) {
+// Guards against a ranking that is out of date: it must name the same worker as a scan of all
+// workers.
+func TestRankingMatchesFullScan(t *testing.T) {
 	for seed := range int64(400) {
 		rng := rand.New(rand.NewSource(seed))
 		s := randomLoad(t, rng)
 		job := s.submit(100, []string{"/titles/", "/renders/"}[rng.Intn(2)], 0, randomStep(rng))
 		p := &planner{in: s.in, moved: make(map[jobs.GroupKey]int)}
-		p.gather()
+		p.collectCandidates()
 		g := s.Jobs[job].Group(0, 0)
 		r := request{group: g, queue: s.in.Config.At(g.Job().Host, g.Job().Prefix), waited: time.Duration(rng.Intn(4)) * time.Second}
 		onWorker := p.onWorker(g)
 		best := &ranking{p: p, r: r, onWorker: onWorker}
 		for k := range g.Tasks {
-			want := p.choose(r, k, onWorker, k > 0, func(c *candidate) bool { return !c.looking })
+			want := p.choose(r, k, onWorker, k > 0, func(c *candidate) bool { return !c.isolated })
 			got := best.next(k > 0)
 			if got != want {
-				t.Fatalf("seed %d, task %d: the ranking names %v, a look at all finds %v", seed, k, name(got), name(want))
+				t.Fatalf("seed %d, task %d: the ranking names %v, a full scan %v", seed, k, name(got), name(want))
 			}
 			if got == nil {
 				break
 			}
-			got.take(g.Step())
+			got.reserve(g.Step())
 			onWorker[got.worker.ID]++
-			best.took()
+			best.updateBest()
 		}
 	}
 }
@@ -81,17 +81,17 @@
 	return c.worker.ID
 }
 
-// Guards against a look at each worker for each task: a step of forty tasks must cost less than
-// three times as much as a step of ten, counted in questions about workers.
-func TestTasksOfAStepShareOneLookAtTheWorkers(t *testing.T) {
-	looks := func(tasks int) int {
-		s := loaded(t, 300, task(tasks, 280, 1000))
+// Guards against scanning all workers for each task: a step of forty tasks must cost at most
+// three times as much as a step of ten, counted in evaluations of workers.
+func TestTasksOfAStepShareOneWorkerScan(t *testing.T) {
+	scans := func(tasks int) int {
+		s := newLoadedHarness(t, 300, task(tasks, 280, 1000))
 		n := 0
 		s.in.Slowness = func(string) float64 { n++; return 0 }
 		Next(s.in)
 		return n
 	}
-	if ten, forty := looks(10), looks(40); forty > 3*ten {
-		t.Errorf("10 tasks ask %d times about a worker, 40 tasks %d times", ten, forty)
+	if ten, forty := scans(10), scans(40); forty > 3*ten {
+		t.Errorf("10 tasks evaluate workers %d times, 40 tasks %d times", ten, forty)
 	}
 }
--- a/dispatch/regroup.go
+++ b/dispatch/regroup.go
@@ -7,40 +7,42 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// Served tasks stand for minutes where they were put before anybody knew what disturbs them. On
-// a worker where some are disturbed by these filling images and some by those, next to nothing
-// may fill. Once their kinds are known the few move to workers of their like, so that most
-// images find workers where they disturb nobody.
+// Serving tasks run for minutes where they were placed before it was known which images interfere
+// with them. Where a worker runs serving tasks that different images interfere with, almost no
+// image may fill. Once similarities are known, tasks in the minority move to workers with similar
+// tasks, so that most filling images find workers where they interfere with nothing.
 const (
-	// strangeBelow is how alike a task's neighbours are at most for it to move, and likeAbove
-	// how alike those are that it moves to: both surely known, or two passes later it might
-	// move back.
-	strangeBelow = 0.25
-	likeAbove    = 0.8
-	// maxMoving is the part of all served tasks that may be away for this at a time, and
-	// leastMoving how many may at least. Each is away for some two seconds.
-	maxMoving   = 0.02
-	leastMoving = 1
+	// A task moves only if its similarity to its neighbours is below maxNeighbourSimilarity and
+	// that to its new neighbours above minTargetSimilarity. Both must be known with confidence:
+	// otherwise the task might move back two passes later.
+	maxNeighbourSimilarity = 0.25
+	minTargetSimilarity    = 0.8
+	// maxRegroupShare is the part of all serving tasks that may be unavailable while being
+	// regrouped, minRegroupLimit how many may at least. Each is unavailable for about two
+	// seconds.
+	maxRegroupShare = 0.02
+	minRegroupLimit = 1
 )
 
-// regroup moves served tasks to their like, one of a worker at a time.
+// regroup moves serving tasks to workers with similar tasks, at most one from each worker.
 func (p *planner) regroup() {
 	if !p.in.Regroup || p.in.Costs == nil || p.in.Without.Regroup {
 		return
 	}
-	served, gone := p.servedTasks()
-	may := max(leastMoving, int(maxMoving*float64(served))) - gone
+	served, missing := p.servedTasks()
+	budget := max(minRegroupLimit, int(maxRegroupShare*float64(served))) - missing
 	for _, service := range slices.Sorted(maps.Keys(p.workers)) {
 		for _, c := range p.workers[service] {
-			if may > 0 && p.regroupOne(c) {
-				may--
+			if budget > 0 && p.regroupOne(c) {
+				budget--
 			}
 		}
 	}
 }
 
-// servedTasks counts the served tasks, and those of them that are not at work.
-func (p *planner) servedTasks() (served, gone int) {
+// servedTasks counts the standing tasks with a latency target, and those of them that are
+// unavailable.
+func (p *planner) servedTasks() (served, missing int) {
 	for _, j := range p.in.Jobs.Jobs {
 		if j.Phase.Over() {
 			continue
@@ -48,39 +50,39 @@
 		for _, g := range j.Groups {
 			if st := g.Step(); st.Standing && st.TargetMS > 0 {
 				served += len(g.Tasks)
-				gone += away(g, p.in.NowMS, "")
+				missing += unavailable(g, p.in.NowMS, "")
 			}
 		}
 	}
-	return served, gone
+	return served, missing
 }
 
-// regroupOne moves the task of a worker that is least like its neighbours, if there is a place
-// among its like.
+// regroupOne moves the task of a worker that is least similar to its neighbours, if a worker with
+// similar tasks has capacity for it.
 func (p *planner) regroupOne(from *candidate) bool {
 	if len(from.serving) < 2 {
 		return false
 	}
 	worker := from.worker.ID
-	var strangest jobs.Ref
-	least := strangeBelow
+	var leastSimilar jobs.Ref
+	lowest := maxNeighbourSimilarity
 	for _, ref := range p.in.Jobs.RunsOn(worker) {
 		g := p.in.Jobs.Group(ref)
 		if !p.mayRegroup(g, ref, worker) {
 			continue
 		}
-		if like := p.likeOthers(from, g.Step().Image); like < least {
-			strangest, least = ref, like
+		if similarity := p.similarityToNeighbours(from, g.Step().Image); similarity < lowest {
+			leastSimilar, lowest = ref, similarity
 		}
 	}
-	if strangest.Job == "" {
+	if leastSimilar.Job == "" {
 		return false
 	}
-	return p.moveToLike(strangest, from)
+	return p.moveToSimilar(leastSimilar, from)
 }
 
-// mayRegroup reports whether a run is of a served task that its caller can spare for a moment,
-// and that has been at work since it began.
+// mayRegroup reports whether a run is a serving one that has been running for settleTime and that
+// its caller can spare for a moment.
 func (p *planner) mayRegroup(g *jobs.Group, ref jobs.Ref, worker string) bool {
 	st := g.Step()
 	r := g.Tasks[ref.Index].On(worker)
@@ -90,21 +92,23 @@
 	if p.in.NowMS-r.AtMS < settleTime.Milliseconds() {
 		return false
 	}
-	gone := away(g, p.in.NowMS, "") + p.moved[ref.Group()]
-	return gone == 0 || (bounded(st) && gone < st.MaxUnavailable)
+	missing := unavailable(g, p.in.NowMS, "") + p.moved[ref.Group()]
+	return missing == 0 || (limitsUnavailable(st) && missing < st.MaxUnavailable)
 }
 
-// likeOthers is how alike one task of an image is to the other served tasks on its worker.
-func (p *planner) likeOthers(c *candidate, image string) float64 {
+// similarityToNeighbours returns the mean similarity of one task of an image to the other serving
+// tasks on its worker.
+func (p *planner) similarityToNeighbours(c *candidate, image string) float64 {
 	n := 0
 	for _, tasks := range c.serving {
 		n += tasks
 	}
-	return (p.alikeTo(c, image)*float64(n) - 1) / float64(n-1)
+	return (p.similarityTo(c, image)*float64(n) - 1) / float64(n-1)
 }
 
-// moveToLike stops a run that has a place among its like, and takes the place.
-func (p *planner) moveToLike(ref jobs.Ref, from *candidate) bool {
+// moveToSimilar stops a run if a worker with similar tasks has capacity for it, and reserves that
+// capacity.
+func (p *planner) moveToSimilar(ref jobs.Ref, from *candidate) bool {
 	g := p.in.Jobs.Group(ref)
 	q := p.in.Config.At(g.Job().Host, g.Job().Prefix)
 	if q == nil {
@@ -113,12 +117,12 @@
 	r := request{group: g, queue: q}
 	onWorker := p.onWorker(g)
 	to := p.choose(r, ref.Index, onWorker, true, func(c *candidate) bool {
-		return c != from && !c.looking && len(c.serving) > 0 && p.alikeTo(c, g.Step().Image) > likeAbove
+		return c != from && !c.isolated && len(c.serving) > 0 && p.similarityTo(c, g.Step().Image) > minTargetSimilarity
 	})
 	if to == nil {
 		return false
 	}
-	to.take(g.Step())
+	to.reserve(g.Step())
 	p.plan.Stops = append(p.plan.Stops, p.in.Jobs.RunOn(ref, from.worker.ID))
 	p.moved[ref.Group()]++
 	return true
--- a/dispatch/regroup_test.go
+++ b/dispatch/regroup_test.go
@@ -6,10 +6,11 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// mixed is a scene in which two workers have served tasks of both kinds, and room for one more.
-func mixed(t *testing.T, steps ...jobs.Step) *scene {
-	s := newScene(t, 2)
-	s.in.Costs = twoKinds{table{}}
+// newMixedHarness has two workers, each with serving tasks of one similarity group, and the given
+// steps on the first worker.
+func newMixedHarness(t *testing.T, steps ...jobs.Step) *harness {
+	s := newHarness(t, 2)
+	s.in.Costs = twoSimilarityGroups{costTable{}}
 	s.in.NowMS = 1000
 	place := func(n int, st jobs.Step, workers ...string) {
 		id := s.submit(n, "/titles/", 1000, st)
@@ -19,7 +20,7 @@
 		}
 		s.index++
 		if _, stale := s.ApplyPlan(jobs.Plan{Placements: []jobs.Placement{pl}, AtMS: 1000}, rules, s.index); stale > 0 {
-			t.Fatal("the scene does not fit")
+			t.Fatal("the test's tasks do not fit")
 		}
 	}
 	place(1, serving(3, 2000, "a1"), "w0", "w0", "w0")
@@ -31,41 +32,42 @@
 	return s
 }
 
-// Served tasks of both kinds stand on one worker, so that nothing may fill there. Once their
-// kinds are known the one that is strange there moves to its like; never one that its caller
-// can't spare now, nor back and forth.
-func TestAStrangerMovesToItsLike(t *testing.T) {
-	s := mixed(t, serving(1, 2000, "b2"))
+// Serving tasks of both groups run on one worker, so that nothing may fill there. Once their
+// similarities are known the dissimilar one must move to similar ones, and must not move back.
+func TestDissimilarTaskMovesToSimilarTasks(t *testing.T) {
+	s := newMixedHarness(t, serving(1, 2000, "b2"))
 	if plan := Next(s.in); len(plan.Stops) != 0 {
-		t.Fatalf("%d tasks move though it was not asked", len(plan.Stops))
+		t.Fatalf("%d tasks move although Regroup is not set", len(plan.Stops))
 	}
 	s.in.Regroup = true
 	plan := Next(s.in)
 	if len(plan.Stops) != 1 || plan.Stops[0].Task.Job != s.jobAt(3) {
-		t.Fatalf("the stops are %+v", plan.Stops)
+		t.Fatalf("stopped runs: %+v", plan.Stops)
 	}
 	s.index++
 	s.ApplyPlan(plan, rules, s.index)
 	s.ApplyEnd("w0", jobs.End{Task: plan.Stops[0].Task, Run: plan.Stops[0].Run, Outcome: jobs.OutcomeStopped}, rules, s.index)
 	s.pass()
 	if got := s.workersOf(s.jobAt(3)); got["w1"] != 1 {
-		t.Errorf("it went to %v", got)
+		t.Errorf("the task was placed on %v", got)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
 	if plan := Next(s.in); len(plan.Stops) != 0 {
-		t.Errorf("%+v move again", plan.Stops)
+		t.Errorf("runs move again: %+v", plan.Stops)
 	}
 }
 
-func TestAStrangerStaysWhileItsCallerCannotSpareIt(t *testing.T) {
+// Guards against regrouping a task while another task of its step is unavailable and no more may
+// be, or before it has run for settleTime.
+func TestDissimilarTaskStaysWhileItsCallerCannotSpareIt(t *testing.T) {
 	for _, waits := range []bool{true, false} {
 		tasks := 1
 		if waits {
-			tasks = 2 // of which the scene places one
+			tasks = 2 // one of which is placed
 		}
-		s := mixed(t, bound(serving(tasks, 1000, "b2"), 1))
+		s := newMixedHarness(t, withMaxUnavailable(serving(tasks, 1000, "b2"), 1))
 		s.in.Regroup = true
-		// A fleet of which several may move at a time: it isn't the bound on these.
+		// Many serving tasks, so that maxRegroupShare allows several to move.
 		many := s.submit(9, "/titles/", 1000, serving(200, 1, "b1"))
 		pl := jobs.Placement{Job: many}
 		for i := range 200 {
@@ -80,23 +82,23 @@
 			}
 		}
 		if (moved == 0) != waits {
-			t.Errorf("another task of the step waits: %v; %d were moved", waits, moved)
+			t.Errorf("another task of the step waits: %v; %d tasks were moved", waits, moved)
 		}
 	}
-	fresh := mixed(t, serving(1, 2000, "b2"))
+	fresh := newMixedHarness(t, serving(1, 2000, "b2"))
 	fresh.in.Regroup = true
 	fresh.in.NowMS -= 1
 	if plan := Next(fresh.in); len(plan.Stops) != 0 {
-		t.Errorf("%+v move that have only just begun", plan.Stops)
+		t.Errorf("runs that have only just started move: %+v", plan.Stops)
 	}
 }
 
-// Where no like is known there is nothing to gain.
-func TestNothingMovesAmongThoseNotKnown(t *testing.T) {
-	s := mixed(t, serving(1, 2000, "b2"))
-	s.in.Costs = table{}
+// Where no similarity is known with confidence, moving a task gains nothing.
+func TestNoTaskMovesWhileSimilarityIsUnknown(t *testing.T) {
+	s := newMixedHarness(t, serving(1, 2000, "b2"))
+	s.in.Costs = costTable{}
 	s.in.Regroup = true
 	if plan := Next(s.in); len(plan.Stops) != 0 {
-		t.Errorf("%+v move", plan.Stops)
+		t.Errorf("tasks move: %+v", plan.Stops)
 	}
 }
--- a/dispatch/suspects_test.go
+++ b/dispatch/suspects_test.go
@@ -9,9 +9,9 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// crash lets a worker crash under all that runs there, as if it had just begun, and brings
-// its next incarnation.
-func (s *scene) crash(worker string) {
+// crash makes a worker crash with all its runs, as if they had just started, and registers its
+// next incarnation.
+func (s *harness) crash(worker string) {
 	s.t.Helper()
 	w := *s.Workers[worker]
 	c := jobs.Crash{Worker: worker}
@@ -24,8 +24,8 @@
 	s.ApplyCrash(c, w.Agent, s.index)
 }
 
-// on counts a job's runs by worker.
-func (s *scene) on(job string) map[string]int {
+// runsByWorker counts a job's runs by worker.
+func (s *harness) runsByWorker(job string) map[string]int {
 	out := make(map[string]int)
 	for _, g := range s.Jobs[job].Groups {
 		for i := range g.Tasks {
@@ -37,11 +37,11 @@
 	return out
 }
 
-// Eight tasks alike run on one worker, which crashes. It comes back empty: placed as if
-// nothing had happened all of them go there again, and crash it again with whichever of
-// them did it. Spread, seven are done elsewhere.
+// Eight identical tasks run on one worker, which crashes and returns empty. Without spreading,
+// all of them would be placed there again and crash it again with the one that causes it. Spread,
+// seven of them finish elsewhere.
 func TestSuspectsAreSpread(t *testing.T) {
-	s := newScene(t, 4)
+	s := newHarness(t, 4)
 	for i := range 3 {
 		s.submit(100+i, "/titles/", 0, serving(1, 3000, "watch"))
 	}
@@ -51,20 +51,20 @@
 	s.crash("w1")
 	s.in.NowMS = 10_000
 	s.pass()
-	for worker, n := range s.on(job) {
+	for worker, n := range s.runsByWorker(job) {
 		if n > 3 {
-			t.Errorf("%d of 8 suspects were placed on %s: %v", n, worker, s.on(job))
+			t.Errorf("%d of 8 suspects were placed on %s: %v", n, worker, s.runsByWorker(job))
 		}
 	}
-	if got := len(s.on(job)); got < 4 {
-		t.Errorf("the suspects are on %d of 4 workers", got)
+	if got := len(s.runsByWorker(job)); got < 4 {
+		t.Errorf("the suspects are on only %d of 4 workers", got)
 	}
 }
 
-// A standing task meets a suspect as seldom as can be, since each crash keeps it away for
+// Guards against placing suspects beside standing tasks, which each crash makes unavailable for
 // seconds: the suspect goes to the worker with more load and no standing task.
 func TestASuspectKeepsAwayFromStandingTasks(t *testing.T) {
-	s := newScene(t, 4)
+	s := newHarness(t, 4)
 	standing := s.submit(1, "/titles/", 0, serving(2, 3000, "watch"))
 	s.place(standing, "w0", 0)
 	s.place(standing, "w1", 1)
@@ -74,35 +74,35 @@
 	s.crash("w3")
 	s.in.NowMS = 10_000
 	s.pass()
-	if s.on(job)["w2"] != 1 {
-		t.Errorf("the suspect is on %v, want w2", s.on(job))
+	if s.runsByWorker(job)["w2"] != 1 {
+		t.Errorf("the suspect is on %v, want w2", s.runsByWorker(job))
 	}
 }
 
-// crashAlone makes a job's only task one that crashed a worker right after its start.
-func crashAlone(s *scene, n int) string {
+// submitCrashingTask submits a job whose only task crashes a worker right after its start.
+func submitCrashingTask(s *harness, n int) string {
 	job := s.submit(n, "/titles/", s.in.NowMS, task(1, 500, 300))
 	s.pass()
-	for worker := range s.on(job) {
+	for worker := range s.runsByWorker(job) {
 		s.crash(worker)
 	}
 	s.in.NowMS += 10_000
 	return job
 }
 
-// A task has crashed a worker, with little else to blame. The next start is to tell for
-// certain whether it is the one: nothing else begins on its worker before and meanwhile.
-func TestALookAloneIsAlone(t *testing.T) {
-	s := newScene(t, 3)
-	job := crashAlone(s, 1)
+// A task has crashed a worker, and few other tasks could be the cause. Its next run must identify
+// the cause, so nothing else may start on its worker shortly before it or during it.
+func TestIsolatedRunIsAlone(t *testing.T) {
+	s := newHarness(t, 3)
+	job := submitCrashingTask(s, 1)
 	s.submit(2, "/titles/", s.in.NowMS, task(3, 500, 300))
 	s.pass()
 	at := ""
-	for worker := range s.on(job) {
+	for worker := range s.runsByWorker(job) {
 		at = worker
 	}
 	if at == "" {
-		t.Fatal("the suspect was not placed though all workers are quiet")
+		t.Fatal("the suspect was not placed although nothing started recently on any worker")
 	}
 	for n := 3; n < 6; n++ {
 		s.submit(n, "/titles/", s.in.NowMS, task(6, 500, 300))
@@ -110,22 +110,22 @@
 		s.pass()
 	}
 	if runs := s.RunsOn(at); len(runs) != 1 {
-		t.Fatalf("beside the suspect began %v", runs)
+		t.Fatalf("other tasks started beside the suspect: %v", runs)
 	}
-	s.in.NowMS += lookTime.Milliseconds()
+	s.in.NowMS += isolationTime.Milliseconds()
 	late := s.submit(7, "/titles/", s.in.NowMS, task(30, 500, 300))
 	s.pass()
-	if s.on(late)[at] == 0 {
-		t.Error("the worker gets nothing after the look either")
+	if s.runsByWorker(late)[at] == 0 {
+		t.Error("the worker gets no tasks after the isolated run either")
 	}
 }
 
-// Work comes all the time, and no worker is ever quiet by itself. One is kept free until the
-// suspect can have it.
-func TestAWorkerIsKeptForALook(t *testing.T) {
-	s := newScene(t, 4)
-	job := crashAlone(s, 1)
-	for n := 2; n < 2+7; n++ { // 0.7 s of it
+// Tasks arrive all the time, so something has always started recently on every worker. One worker
+// must be kept free for the suspect.
+func TestWorkerIsReservedForIsolatedRun(t *testing.T) {
+	s := newHarness(t, 4)
+	job := submitCrashingTask(s, 1)
+	for n := 2; n < 2+7; n++ { // for 0.7 s
 		other := s.submit(n, "/titles/", s.in.NowMS, task(4, 300, 300))
 		if n == 2 { // on every worker
 			for i, worker := range slices.Sorted(maps.Keys(s.Workers)) {
@@ -135,18 +135,18 @@
 		s.pass()
 		s.in.NowMS += 100
 	}
-	if len(s.on(job)) != 1 {
-		t.Fatal("the suspect found no worker of its own within 0.7 s")
+	if len(s.runsByWorker(job)) != 1 {
+		t.Fatal("the suspect got no worker to itself within 0.7 s")
 	}
-	for worker := range s.on(job) {
-		if s.begunBeside(worker, job) {
-			t.Errorf("something began beside the suspect on %s", worker)
+	for worker := range s.runsByWorker(job) {
+		if s.startedBeside(worker, job) {
+			t.Errorf("another task started beside the suspect on %s", worker)
 		}
 	}
 }
 
-// place puts tasks of a job on a worker.
-func (s *scene) place(job, worker string, indexes ...int) {
+// place places tasks of a job on a worker.
+func (s *harness) place(job, worker string, indexes ...int) {
 	s.t.Helper()
 	s.index++
 	p := jobs.Placement{Job: job, Indexes: indexes, Workers: slices.Repeat([]string{worker}, len(indexes))}
@@ -155,9 +155,9 @@
 	}
 }
 
-// begunBeside reports whether a run of another job began on a worker within the time of a
-// look before the job's run there, or after it.
-func (s *scene) begunBeside(worker, job string) bool {
+// startedBeside reports whether a run of another job started on a worker after the job's run
+// there, or less than isolationTime before it.
+func (s *harness) startedBeside(worker, job string) bool {
 	var at int64
 	for ref, t := range s.Use(worker).Runs {
 		if ref.Job == job {
@@ -165,43 +165,45 @@
 		}
 	}
 	for ref, t := range s.Use(worker).Runs {
-		if ref.Job != job && t.On(worker).AtMS > at-lookTime.Milliseconds() {
+		if ref.Job != job && t.On(worker).AtMS > at-isolationTime.Milliseconds() {
 			return true
 		}
 	}
 	return false
 }
 
-// On a fleet that is never quiet, nor has a worker to spare, a suspect waits two seconds for
-// a worker of its own: callers may not wait long while there is room.
-func TestALookIsNotWaitedForLong(t *testing.T) {
-	s := newScene(t, 1)
-	job := crashAlone(s, 1)
+// Where something starts all the time and no worker can be spared, a suspect waits two seconds
+// for a worker to itself and is then placed anyway: callers may not wait long while there is free
+// capacity.
+func TestIsolationWaitIsBounded(t *testing.T) {
+	s := newHarness(t, 1)
+	job := submitCrashingTask(s, 1)
 	other := s.submit(2, "/titles/", s.in.NowMS, task(1, 500, 300))
 	s.place(other, slices.Sorted(maps.Keys(s.Workers))[0], 0)
 	s.in.NowMS += 100
-	s.in.Waited = func(*jobs.Group) time.Duration { return lookWait - 1 }
+	s.in.Waited = func(*jobs.Group) time.Duration { return isolationWait - 1 }
 	s.pass()
-	if len(s.on(job)) != 0 {
+	if len(s.runsByWorker(job)) != 0 {
 		t.Fatal("the suspect was placed right after another task's start")
 	}
-	s.in.Waited = func(*jobs.Group) time.Duration { return lookWait + 1 }
+	s.in.Waited = func(*jobs.Group) time.Duration { return isolationWait + 1 }
 	s.pass()
-	if len(s.on(job)) != 1 {
+	if len(s.runsByWorker(job)) != 1 {
 		t.Fatal("the suspect was not placed after its wait")
 	}
 }
 
-// Looks don't take the fleet away from everybody else: a third of it at most.
-func TestLooksLeaveMostWorkersToOthers(t *testing.T) {
-	s := newScene(t, 6)
+// Guards against isolated runs that take the fleet away from other tasks: they may use a third of
+// it at most.
+func TestIsolatedRunsLeaveMostWorkersToOthers(t *testing.T) {
+	s := newHarness(t, 6)
 	var suspects []string
 	for n := range 5 {
 		suspects = append(suspects, s.submit(1+n, "/titles/", 0, task(1, 500, 300)))
 	}
 	s.pass()
 	for _, job := range suspects {
-		for worker := range s.on(job) {
+		for worker := range s.runsByWorker(job) {
 			s.crash(worker)
 		}
 	}
@@ -209,37 +211,37 @@
 	s.pass()
 	placed := 0
 	for _, job := range suspects {
-		placed += len(s.on(job))
+		placed += len(s.runsByWorker(job))
 	}
 	other := s.submit(50, "/titles/", s.in.NowMS, task(40, 500, 300))
 	s.pass()
-	if got := len(s.on(other)); placed > 2 || got < 4 {
-		t.Errorf("%d looks at a time, others begin on %d of 6 workers", placed, got)
+	if got := len(s.runsByWorker(other)); placed > 2 || got < 4 {
+		t.Errorf("%d isolated runs at a time, other tasks started on %d of 6 workers", placed, got)
 	}
 }
 
-// A flapping worker: the task goes elsewhere the next time, so that it isn't accused again
-// for what the worker does by itself.
+// A worker crashes repeatedly by itself. The task must be placed on another worker next time, so
+// that it isn't suspected again for crashes it doesn't cause.
 func TestASuspectGoesElsewhere(t *testing.T) {
-	s := newScene(t, 3)
+	s := newHarness(t, 3)
 	job := s.submit(1, "/titles/", 0, task(1, 500, 300))
 	s.pass()
 	crashed := ""
-	for worker := range s.on(job) {
+	for worker := range s.runsByWorker(job) {
 		crashed = worker
 		s.crash(worker)
 	}
 	s.in.NowMS = 10_000
 	s.pass()
-	if s.on(job)[crashed+"'"] > 0 {
+	if s.runsByWorker(job)[crashed+"'"] > 0 {
 		t.Error("the suspect is back on the worker that crashed under it")
 	}
 }
 
-// A worker was lost under a task that may be one crash from its end. The task waits for
-// the word of the agent, but not for ever: the worker may be lost for good.
-func TestATaskWaitsForItsWitness(t *testing.T) {
-	s := newScene(t, 3)
+// A worker was lost under a task that may be one crash from its end. The task waits for the
+// agent's report, but not forever: the worker may be lost for good.
+func TestTaskWaitsForCrashReport(t *testing.T) {
+	s := newHarness(t, 3)
 	job := s.submit(1, "/titles/", 0, task(2, 500, 300))
 	for range 3 {
 		s.place(job, "w0", 0, 1)
@@ -256,11 +258,11 @@
 	s.in.Waited = func(*jobs.Group) time.Duration { return waited }
 	s.pass()
 	if s.Jobs[job].Groups[0].Tasks[0].Placed != nil {
-		t.Fatal("the task was started before its lost worker's agent had told what became of it")
+		t.Fatal("the task was started before the lost worker's agent reported whether it crashed")
 	}
-	waited = witnessWait
+	waited = crashReportWait
 	s.pass()
 	if s.Jobs[job].Groups[0].Tasks[0].Placed == nil {
-		t.Error("the task waits for ever")
+		t.Error("the task still waits after crashReportWait")
 	}
 }
