--- a/runner/announce.go
+++ b/runner/announce.go
@@ -17,14 +17,14 @@
 	Rack       string // one of the labels, "" if it is not known
 	Capacity   resource.Vector
 	Draining   bool
-	// OwnID says that no other start of the worker bears its id, so that no call for another
-	// start reaches this one.
+	// OwnID says that no other start of the worker has its id, so that a call meant for
+	// another start never reaches this one.
 	OwnID bool
-	// Sequence rises with each heartbeat of an incarnation.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
-// Validate reports what makes an announcement unusable.
+// Validate reports why an announcement cannot be used, nil if it can.
 func (a *Announcement) Validate() error {
 	if a.Worker == "" || a.Service == "" {
 		return errors.New("the announcement names no worker or service")
@@ -35,31 +35,31 @@
 	return nil
 }
 
-// ErrStale is returned for an announcement that an older incarnation or an
-// earlier moment sent.
+// ErrStale is returned for an announcement of an older incarnation, or for one that is older
+// than the newest known.
 var ErrStale = errors.New("a newer announcement is known")
 
-// ErrNotThere is returned for the announcement of an incarnation that does not stand
-// at the worker's address.
+// ErrNotThere is returned for the announcement of an incarnation that is not at the worker's
+// address.
 var ErrNotThere = errors.New("another incarnation stands at the worker's address")
 
-// ErrDoubted is returned for an announcement that the one before contradicts. It counts
-// once the next one agrees with it.
+// ErrDoubted is returned for an announcement that contradicts the newest one. It is accepted
+// once the next announcement agrees with it.
 var ErrDoubted = errors.New("the announcement contradicts an earlier one; send the next")
 
-// maxApart is how many heartbeats lie at most between two that follow each other, or
-// between one that was held up and the newest: two and a half minutes of a heartbeat
-// every 1.5 s, longer than a cut holds a call up.
-const maxApart = 100
+// maxSequenceGap is the largest plausible difference in sequence between two successive
+// heartbeats, or between a delayed heartbeat and the newest one. With a heartbeat every 1.5 s
+// it covers two and a half minutes, longer than a network partition delays a call.
+const maxSequenceGap = 100
 
-// relation is what an announcement is to another one of the same incarnation.
+// relation tells how an announcement relates to another one of the same incarnation.
 type relation uint8
 
 const (
 	follows relation = iota
 	isStale
-	// contradicts means that not both can be the worker's own: a worker is in one
-	// service all its life, and its numbers rise a little at a time.
+	// contradicts means that the worker cannot have sent both: an incarnation belongs to one
+	// service, and its sequence increases in small steps.
 	contradicts
 )
 
@@ -67,21 +67,21 @@
 	switch {
 	case a.Service != old.Service:
 		return contradicts
-	case a.Sequence <= old.Sequence && old.Sequence-a.Sequence <= maxApart:
+	case a.Sequence <= old.Sequence && old.Sequence-a.Sequence <= maxSequenceGap:
 		return isStale
-	case a.Sequence > old.Sequence && a.Sequence-old.Sequence <= maxApart:
+	case a.Sequence > old.Sequence && a.Sequence-old.Sequence <= maxSequenceGap:
 		return follows
 	}
 	return contradicts
 }
 
-// Announce takes in a heartbeat. When it returns nil and the worker drains, no
-// run is started on it any more.
+// Announce handles a heartbeat. When it returns nil and the worker drains, no further run is
+// started on it.
 //
-// Something else than the worker may write here. One strange heartbeat under the
-// worker's own name must not silence the true ones behind it, with a number that they
-// won't reach for days, nor move the worker to another service. So a heartbeat that
-// contradicts the newest counts only when the next agrees with it.
+// A process other than the worker may send heartbeats under the worker's id. A single such
+// heartbeat must not make the worker's own ones stale, by a sequence that they will not reach
+// for days, nor move the worker to another service. A heartbeat that contradicts the newest
+// one is therefore accepted only when the next one agrees with it.
 func (r *Runner) Announce(a Announcement) error {
 	if err := a.Validate(); err != nil {
 		return err
@@ -90,7 +90,7 @@
 	old := r.newest
 	if old == nil || old.Worker != a.Worker {
 		r.mu.Unlock()
-		return r.announceAnother(a, old)
+		return r.announceNewIncarnation(a, old)
 	}
 	relation := a.relationTo(old)
 	if relation == contradicts && !r.confirmed(&a) {
@@ -102,43 +102,43 @@
 		return ErrStale
 	}
 	a.Draining = a.Draining || (old.Draining && relation == follows)
-	news := a.Draining != old.Draining || a.Capacity != old.Capacity || a.Service != old.Service
-	r.newest, r.doubted = &a, nil
+	changed := a.Draining != old.Draining || a.Capacity != old.Capacity || a.Service != old.Service
+	r.newest, r.contradicting = &a, nil
 	s := r.session
 	r.mu.Unlock()
-	if news && s != nil {
+	if changed && s != nil {
 		s.announce(a)
 	}
 	return nil
 }
 
-// confirmed reports whether the last heartbeat that was doubted agrees with this one;
-// the caller holds the lock.
+// confirmed reports whether the last contradicting heartbeat agrees with this one. The caller
+// holds the lock.
 func (r *Runner) confirmed(a *Announcement) bool {
-	last := r.doubted
-	r.doubted = a
+	last := r.contradicting
+	r.contradicting = a
 	return last != nil && last.Worker == a.Worker && a.relationTo(last) == follows
 }
 
-// announceAnother takes in the heartbeat of an incarnation that is not the one served.
-func (r *Runner) announceAnother(a Announcement, old *Announcement) error {
-	if old != nil && !r.standsHere(a.Worker) {
+// announceNewIncarnation handles the heartbeat of an incarnation other than the one served.
+func (r *Runner) announceNewIncarnation(a Announcement, old *Announcement) error {
+	if old != nil && !r.answersAs(a.Worker) {
 		return ErrStale
 	}
 	if old != nil {
 		r.fenceEarly(a.Worker)
 	}
-	if old == nil && r.standsElsewhere(a.Worker) {
+	if old == nil && r.answersAsOther(a.Worker) {
 		return ErrNotThere
 	}
 	r.mu.Lock()
-	if r.newest == old || r.newest == nil { // the old one's session may have ended meanwhile
-		r.newest, r.doubted = &a, nil
+	if r.newest == old || r.newest == nil { // the previous session may have ended meanwhile
+		r.newest, r.contradicting = &a, nil
 	}
 	s := r.session
 	r.mu.Unlock()
 	if old != nil {
-		r.contact.replace(old.Worker, time.Now())
+		r.liveness.markReplaced(old.Worker, time.Now())
 	}
 	logrus.WithFields(logrus.Fields{"worker": a.Worker, "service": a.Service, "draining": a.Draining}).Info("runner: A worker announced itself.")
 	if s != nil {
@@ -148,17 +148,17 @@
 	return nil
 }
 
-// standsHere asks whether an incarnation is the one at the worker's address. A
-// heartbeat held up by a cut may come from one that has crashed since; believing
-// it would end the newer one's runs in the books while they run on.
-func (r *Runner) standsHere(worker string) bool {
+// answersAs reports whether the worker answers as the given incarnation. A heartbeat delayed
+// by a network partition may come from an incarnation that has crashed since; accepting it
+// would make the control treat the newer incarnation's runs as ended while they continue.
+func (r *Runner) answersAs(worker string) bool {
 	reply, err := r.worker.Hold(HoldCall{Target: Target{worker, r.tokens.current()}})
 	return err == nil && reply.Verdict != VerdictElsewhere
 }
 
-// standsElsewhere reports whether the worker says that it is another incarnation. A
-// worker that says nothing is believed: it may be busy with its start.
-func (r *Runner) standsElsewhere(worker string) bool {
+// answersAsOther reports whether the worker answers as another incarnation. An announced
+// worker that does not answer is accepted: it may still be starting.
+func (r *Runner) answersAsOther(worker string) bool {
 	reply, err := r.worker.Hold(HoldCall{Target: Target{worker, r.tokens.current()}})
 	return err == nil && reply.Verdict == VerdictElsewhere
 }
--- a/runner/announce_test.go
+++ b/runner/announce_test.go
@@ -9,27 +9,27 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-func (b *bench) beat(service string, sequence uint64, draining bool) error {
+func (b *bench) heartbeat(service string, sequence uint64, draining bool) error {
 	return b.runner.Announce(Announcement{Worker: "w1", Service: service, Capacity: resource.Vector{MilliCPU: 1000, MemoryMB: 1000}, Draining: draining, Sequence: sequence})
 }
 
-// Something else writes one heartbeat under the worker's own name, with a number far
-// ahead, or for another service. Were it taken, the worker's true heartbeats would be
-// stale for days: its leaving would be acknowledged and not known, and tasks be started
-// on it until it is gone.
-func TestStrangeHeartbeatDoesNotSilenceTheWorker(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+// Guards against a foreign heartbeat under the worker's id, with a sequence far ahead or for
+// another service. If it were accepted, the worker's own heartbeats would be stale for days:
+// its drain would be acknowledged but not applied, and tasks would be started on it until it
+// ends.
+func TestForeignHeartbeatDoesNotMakeTheWorkersOwnStale(t *testing.T) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		if err := b.beat("vault", 1<<40, false); !errors.Is(err, ErrDoubted) {
+		if err := b.heartbeat("vault", 1<<40, false); !errors.Is(err, ErrDoubted) {
 			t.Errorf("a number far ahead got %v", err)
 		}
-		if err := b.beat("elsewhere", b.seq+1, true); !errors.Is(err, ErrDoubted) {
+		if err := b.heartbeat("elsewhere", b.seq+1, true); !errors.Is(err, ErrDoubted) {
 			t.Errorf("another service got %v", err)
 		}
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
 		if !b.worker.isRunning(runA1) {
-			t.Error("a strange heartbeat kept a run from its start")
+			t.Error("a foreign heartbeat prevented a start")
 		}
 		if err := b.announce("w1", true); err != nil {
 			t.Errorf("the worker's own heartbeat got %v", err)
@@ -38,31 +38,32 @@
 		b.ctl.give(startOf(runB1))
 		time.Sleep(time.Second)
 		if b.worker.isRunning(runB1) {
-			t.Error("a run was started on a worker that leaves")
+			t.Error("a run was started on a draining worker")
 		}
 	})
 }
 
-// The very first heartbeat was the strange one, or the worker's numbers did jump. Two
-// that agree with each other are the worker's own: it must not be shut out for good.
+// Guards against a worker that is shut out for good, because its first heartbeat was a foreign
+// one or its own sequence jumped. Two heartbeats that agree with each other are the worker's
+// own.
 func TestTwoHeartbeatsThatAgreeAreBelieved(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		for i, want := range []error{ErrDoubted, nil, nil} {
-			if err := b.beat("vault", 1<<40+uint64(i), i == 2); !errors.Is(err, want) {
+			if err := b.heartbeat("vault", 1<<40+uint64(i), i == 2); !errors.Is(err, want) {
 				t.Errorf("heartbeat %d after the jump got %v", i, err)
 			}
 		}
-		if err := b.beat("vault", 1<<40+1, false); !errors.Is(err, ErrStale) {
+		if err := b.heartbeat("vault", 1<<40+1, false); !errors.Is(err, ErrStale) {
 			t.Errorf("a late heartbeat got %v", err)
 		}
 	})
 }
 
-// Something announces a worker that doesn't stand here, before the true one does. It must
-// not be registered: tasks would be placed on a worker that nobody ever reaches.
+// Guards against the registration of a worker that was announced by another process and is not
+// at the worker's address: tasks would be placed on a worker that cannot be reached.
 func TestWorkerThatIsNotThereIsNotRegistered(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.stop()
 		b.begin()
 		if err := b.runner.Announce(Announcement{Worker: "nobody", Service: "vault", Sequence: 1}); !errors.Is(err, ErrNotThere) {
@@ -78,24 +79,24 @@
 	})
 }
 
-// goneMeanwhile is a worker whose incarnation of before is taken for gone while the next one
-// is asked whether it stands there.
-type goneMeanwhile struct {
+// endingWorker is a worker whose previous session ends while the new incarnation is asked for
+// its identity.
+type endingWorker struct {
 	Worker
 	runner *Runner
 }
 
-func (w *goneMeanwhile) Hold(HoldCall) (HoldReply, error) {
+func (w *endingWorker) Hold(HoldCall) (HoldReply, error) {
 	w.runner.mu.Lock()
 	defer w.runner.mu.Unlock()
 	w.runner.newest = nil
 	return HoldReply{Reply: Reply{Verdict: VerdictDone}}, nil
 }
 
-// Guards against a worker that isn't served until its next heartbeat, since the session with
-// the incarnation before ended while the first one was looked at.
+// Guards against a worker that is not served until its second heartbeat, because the previous
+// incarnation's session ended while the first one was being checked.
 func TestAHeartbeatCountsThoughTheOldSessionEndsMeanwhile(t *testing.T) {
-	w := &goneMeanwhile{}
+	w := &endingWorker{}
 	w.runner = New("a", nil, w, time.Second)
 	w.runner.newest = &Announcement{Worker: "w1", Service: "vault", Sequence: 7}
 	if err := w.runner.Announce(Announcement{Worker: "w2", Service: "vault", Sequence: 1}); err != nil {
--- a/runner/begin_test.go
+++ b/runner/begin_test.go
@@ -7,12 +7,12 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// A watcher's tail is near its target by its own load, and a render that nobody has seen
-// beside it is started. The worker starts it at full pace. If the agent waits for the next
-// reading to slow it, up to 0.4 s pass in which the watcher's users wait: the pace has to be
-// told with the start.
+// Guards against a filling run that is slowed only by the reading after its start. A watcher's
+// tail is near its target by its own load, and the worker starts an unknown render beside it
+// at full pace. Until the next reading up to 0.4 s pass, so the pace must be sent with the
+// start.
 func TestARendersPaceIsToldWithItsStart(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		watch := runKey{jobs.Ref{Job: "00000000000000cc"}, 1}
 		b.worker.mu.Lock()
 		b.worker.figures = map[string]float64{watch.task.Job: 40}
--- a/runner/cordon.go
+++ b/runner/cordon.go
@@ -8,18 +8,18 @@
 
 var startsHeld = metrics.NewCounter(`waxwinghaven_starts_held_total{reason="no-word"}`)
 
-// heard takes in the answer to a request for the lease: whether the data centre is out of
-// service, by a majority's word later than asked.
-func (s *session) heard(cordoned bool, asked clock.Instant) {
+// setCordonStatus applies the answer to a lease request that was sent at asked: whether the
+// data centre is out of service, as a majority of the replicas confirmed after that time.
+func (s *session) setCordonStatus(cordoned bool, asked clock.Instant) {
 	s.mu.Lock()
-	if !s.word.IsZero() && asked.Sub(s.word) < 0 {
+	if !s.cordonAsOf.IsZero() && asked.Sub(s.cordonAsOf) < 0 {
 		s.mu.Unlock()
 		return // requests overlap, and a later one was answered first
 	}
 	changed := s.cordoned != cordoned
-	s.cordoned, s.word = cordoned, asked
+	s.cordoned, s.cordonAsOf = cordoned, asked
 	if !cordoned {
-		s.inService = asked
+		s.inServiceAsOf = asked
 	}
 	s.mu.Unlock()
 	if changed {
@@ -30,8 +30,9 @@
 	}
 }
 
-// cordon takes in, from the leader's orders, that the data centre is out of service. That it
-// is back only a majority may say: orders are handed out without one.
+// cordon applies the leader's orders when they say that the data centre is out of service.
+// Orders are handed out without a majority's confirmation, so they never bring it back into
+// service.
 func (s *session) cordon() {
 	s.mu.Lock()
 	changed := !s.cordoned
@@ -58,22 +59,22 @@
 	return s.cordoned
 }
 
-// mayStart reports whether the control's last word that the data centre is in service is new
-// enough to start something by it. An agent that is cut off goes on holding its orders and
-// its lease while an operator's order is acknowledged elsewhere; it must not start them past
-// the operators' bound. The next renewal of the lease brings a new word.
+// mayStart reports whether the last confirmation that the data centre is in service is recent
+// enough to start a run. An agent that is cut off keeps its orders and its lease while the
+// control acknowledges an operator's cordon; it must not start them after the bound that
+// operators rely on. The next renewal of the lease brings a new confirmation.
 func (s *session) mayStart() bool {
 	s.mu.Lock()
-	word := s.inService
+	confirmed := s.inServiceAsOf
 	s.mu.Unlock()
-	if !word.IsZero() && clock.Since(word) <= s.r.startWord {
+	if !confirmed.IsZero() && clock.Since(confirmed) <= s.r.maxConfirmationAge {
 		return true
 	}
 	startsHeld.Inc()
 	return false
 }
 
-// wakeRuns makes every run decide anew.
+// wakeRuns makes every run decide again what to do.
 func (s *session) wakeRuns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/runner/cursor_test.go
+++ b/runner/cursor_test.go
@@ -7,30 +7,30 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// Guards against a late end on a worker's next start that a list for the one before acknowledges:
-// only a list that has news to acknowledge carries a cursor.
+// Guards against a list for the previous incarnation that acknowledges a late end on its
+// successor: only a list with new ends to acknowledge carries a cursor.
 func TestOnlyNewEndsAreAcknowledged(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(startOf(runB1))
 		time.Sleep(time.Second)
 		b.worker.end(runB1, jobs.OutcomeDone)
 		time.Sleep(time.Second)
 		if b.worker.acknowledged() != 1 {
-			t.Fatalf("acknowledged up to %d", b.worker.acknowledged())
+			t.Fatalf("ends are acknowledged up to %d", b.worker.acknowledged())
 		}
-		b.worker.mute(1 << 20)
+		b.worker.dropHolds(1 << 20)
 		time.Sleep(2 * holdWait)
 		b.worker.mu.Lock()
 		lost := b.worker.lostHolds
 		b.worker.mu.Unlock()
 		if len(lost) == 0 {
-			t.Fatal("no list went unanswered: nothing is shown")
+			t.Fatal("the test needs an unanswered list")
 		}
 		for _, c := range lost {
 			if c.Cursor != 0 {
-				t.Errorf("a list that was lost acknowledges up to %d", c.Cursor)
+				t.Errorf("a lost list acknowledges ends up to %d", c.Cursor)
 			}
 		}
-		b.worker.mute(0)
+		b.worker.dropHolds(0)
 	})
 }
--- /dev/null
+++ b/runner/degraded.go
@@ -0,0 +1,78 @@
+package runner
+
+import "time"
+
+const (
+	// overThreshold is the tail, as a fraction of its target, above which it is too long, and
+	// recoveredThreshold the one below which a worker no longer counts as degraded.
+	overThreshold      = 1.0
+	recoveredThreshold = 0.9
+	// stopAllAfter is how long a tail may be continuously too long before all filling runs are
+	// stopped, and not only the likely culprits: one of the four seconds for which filling
+	// runs may keep it too long.
+	stopAllAfter = time.Second
+	// degradedAfter is how long a tail must be continuously too long, without any filling run
+	// at work, before the worker counts as degraded. A reading covers the last half second,
+	// and a pace takes up to 0.1 s to take effect.
+	degradedAfter = 1800 * time.Millisecond
+	// maxFreeTime is how long filling runs may work on end beside a tail that is too long on a
+	// degraded worker. The classification may be wrong: a pace takes effect late, or its call
+	// was lost. With readings at most 0.8 s apart, the runs are stopped again after 2.3 of the
+	// four seconds.
+	maxFreeTime = 1500 * time.Millisecond
+)
+
+// degradationDetector distinguishes a degraded worker, whose tails are too long whatever fills
+// beside them, from one where filling runs disturb. It reads no clock: the time is passed in.
+type degradationDetector struct {
+	overSince  time.Time // since when a tail is continuously too long, zero if none is
+	aloneSince time.Time // since when, within that time, no filling run is at work
+	degraded   bool      // tails were too long without any filling run at work
+}
+
+// command tells what to do with the filling runs.
+type command uint8
+
+const (
+	steerAll   command = iota // each gets the pace that the serving groups tolerate
+	stopAll                   // none may work
+	releaseAll                // all may work: stopping them makes no difference
+)
+
+// update processes the highest tail, as a fraction of its target.
+func (j *degradationDetector) update(now time.Time, worst float64, nothingFills bool) command {
+	if worst <= overThreshold {
+		j.overSince, j.aloneSince = time.Time{}, time.Time{}
+		j.degraded = j.degraded && worst >= recoveredThreshold
+		return j.command(now)
+	}
+	if j.overSince.IsZero() {
+		j.overSince = now
+	}
+	switch {
+	case !nothingFills:
+		j.aloneSince = time.Time{}
+	case j.aloneSince.IsZero():
+		j.aloneSince = now
+	case now.Sub(j.aloneSince) >= degradedAfter:
+		// If filling runs stayed stopped on a degraded worker, they would be moved away one
+		// after the other, and its readings would be attributed to whatever filled there. They
+		// therefore work again for a while.
+		j.degraded, j.overSince, j.aloneSince = true, now, time.Time{}
+	}
+	return j.command(now)
+}
+
+func (j *degradationDetector) command(now time.Time) command {
+	over := time.Duration(0)
+	if !j.overSince.IsZero() {
+		over = now.Sub(j.overSince)
+	}
+	switch {
+	case j.degraded && over < maxFreeTime:
+		return releaseAll
+	case !j.degraded && over < stopAllAfter:
+		return steerAll
+	}
+	return stopAll
+}
--- a/runner/ends.go
+++ b/runner/ends.go
@@ -8,23 +8,23 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// report is an end on its way to the control. number is 0 for a run that never
-// started, which the worker does not list.
-type report struct {
+// endReport is the end of a run that is to be reported to the control. number is 0 for a run
+// that never started, which the worker does not list.
+type endReport struct {
 	end    jobs.End
 	number uint64
 	at     time.Time
 }
 
-// list takes in the ends that a reply lists.
-func (s *session) list(reply HoldReply) {
+// processEnds handles the ends that a reply lists.
+func (s *session) processEnds(reply HoldReply) {
 	for _, f := range reply.Finished {
 		key := runKey{f.Task, f.Run}
-		if f.Number <= s.seen {
-			s.noteSeen(key, f.Number)
+		if f.Number <= s.highestEnd {
+			s.checkRepeatedEnd(key, f.Number)
 			continue
 		}
-		s.seen = f.Number
+		s.highestEnd = f.Number
 		s.mu.Lock()
 		s.markEnded(key)
 		r := s.runs[key]
@@ -33,54 +33,54 @@
 		end := jobs.End{Task: f.Task, Run: f.Run, Outcome: f.Outcome, Checkpoint: f.Checkpoint}
 		if r != nil {
 			end.WorkMS = r.workMS()
-			stray := r.isStray()
+			orphan := r.isOrphan()
 			r.setEnded()
-			if stray {
-				s.wakeRuns() // they waited for its end
+			if orphan {
+				s.wakeRuns() // starts wait until no orphan is left
 			}
 		}
 		logrus.WithFields(logrus.Fields{"task": f.Task.String(), "run": f.Run, "how": f.How, "n": f.Number}).Info("runner: A run ended.")
-		s.send(report{end: end, number: f.Number, at: time.Now()})
+		s.send(endReport{end: end, number: f.Number, at: time.Now()})
 	}
 }
 
-// noteSeen looks at an end whose number was seen before. The worker lists each until it is
-// acknowledged; one of another run means that the numbers are not those of one start of
-// the worker, and that this end is lost.
-func (s *session) noteSeen(key runKey, number uint64) {
+// checkRepeatedEnd checks an end whose number was seen before. The worker lists each end until
+// it is acknowledged. If the number belonged to another run, the list mixes numbers of
+// different starts of the worker, and this end is lost.
+func (s *session) checkRepeatedEnd(key runKey, number uint64) {
 	s.mu.Lock()
 	known := s.ended[key]
 	s.mu.Unlock()
 	if known {
 		return
 	}
-	endsMistaken.Inc()
-	logrus.WithFields(logrus.Fields{"worker": s.worker, "task": key.task.String(), "run": key.run, "n": number, "seen": s.seen}).
-		Error("runner: An end was left out, its number had been seen with another run.")
+	endNumberConflicts.Inc()
+	logrus.WithFields(logrus.Fields{"worker": s.worker, "task": key.task.String(), "run": key.run, "n": number, "seen": s.highestEnd}).
+		Error("runner: An end was skipped: its number belonged to another run.")
 }
 
-// maxEnded bounds the memory of ends. It only has to outlast an answer with
-// orders that is under way while the end is committed.
+// maxEnded bounds the number of remembered ends. An end has to be remembered only until orders
+// that were sent before its commit have arrived.
 const maxEnded = 4096
 
-// markEnded remembers an end; the caller holds the lock.
+// markEnded remembers an end. The caller holds the lock.
 func (s *session) markEnded(key runKey) {
 	s.ended[key] = true
-	s.order = append(s.order, key)
-	if len(s.order) > maxEnded {
-		delete(s.ended, s.order[0])
-		s.order = s.order[1:]
+	s.endedOrder = append(s.endedOrder, key)
+	if len(s.endedOrder) > maxEnded {
+		delete(s.ended, s.endedOrder[0])
+		s.endedOrder = s.endedOrder[1:]
 	}
 }
 
-func (s *session) send(r report) {
+func (s *session) send(r endReport) {
 	select {
 	case s.ends <- r:
 	case <-s.ctx.Done():
 	}
 }
 
-// awaitAck waits a moment for the commit of what was just reported.
+// awaitAck waits up to ackWait for the commit of the ends just reported.
 func (s *session) awaitAck() {
 	select {
 	case <-s.acked:
@@ -89,10 +89,10 @@
 	}
 }
 
-// reportLoop commits ends, several at a time.
+// reportLoop commits ends in batches.
 func (s *session) reportLoop() {
 	for {
-		var batch []report
+		var batch []endReport
 		select {
 		case <-s.ctx.Done():
 			return
@@ -108,11 +108,12 @@
 	}
 }
 
-// maxEnds bounds the ends in one message.
+// maxEnds bounds the number of ends in one message.
 const maxEnds = 256
 
-// commit commits ends as a worker's, and lets the next call to this one acknowledge them.
-func (s *session) commit(worker string, batch []report) (a control.EndsAnswer, ok bool) {
+// commit commits ends as those of a worker, and lets the next call to the worker acknowledge
+// them. It retries until it succeeds, and returns false if the session ends first.
+func (s *session) commit(worker string, batch []endReport) (a control.EndsAnswer, ok bool) {
 	req := control.RunEnds{Worker: worker}
 	highest := uint64(0)
 	for _, b := range batch {
@@ -122,7 +123,7 @@
 	for s.ctx.Err() == nil {
 		err := s.r.ctl.Call(control.PathEnds, controlTimeout, &req, &a)
 		if err != nil {
-			s.controlRefused("ends", err)
+			s.handleControlError("ends", err)
 			s.sleep(callPause)
 			continue
 		}
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -12,8 +12,8 @@
 
 var errLost = errors.New("no answer")
 
-// fakeWorker keeps the rules of a worker: one incarnation, a fencing token that
-// only rises, runs, their ends, and which runs may never start any more.
+// fakeWorker implements the rules of a worker: one incarnation, a fencing token that only
+// increases, runs, their ends, and which runs may never start again.
 type fakeWorker struct {
 	mu       sync.Mutex
 	id       string
@@ -22,30 +22,30 @@
 	finished []FinishedRun
 	fences   map[jobs.Ref]uint32 // highest run that was stopped or ended
 	number   uint64
-	cursor   uint64 // highest the agent acknowledged
+	cursor   uint64 // highest that the agent acknowledged
 	leaseEnd int64
 	begun    time.Time
 	changed  chan struct{}
 
-	tried      int      // calls for a start
-	loseStart  int      // answers of starts to lose
-	notSent    int      // starts that never leave
-	late       []func() // lost starts that are still to be carried out
-	sameID     bool     // late starts for the incarnation before are carried out by this one
-	rejectNext Verdict
-	stopping   time.Duration // how long a stop takes
-	away       error         // what connecting to it ends with, nil if it takes connections
-	failing    error         // what all calls end with, nil for nothing
-	lostHolds  []HoldCall    // that ended so
-	unseen     int           // calls for another incarnation whose tokens it doesn't see
-	muteHolds  int           // lists to leave unanswered, each until its call is given up
-	starts     []StartCall
-	figures    map[string]float64 // told of the runs of a job
-	paces      []toldPace
-}
-
-// toldPace is a pace call and when it came.
-type toldPace struct {
+	tried          int      // calls for a start
+	loseStart      int      // answers to starts that are to be lost
+	notSent        int      // starts that are to fail before they are sent
+	late           []func() // lost starts that are still to be carried out
+	sameID         bool     // late starts for the previous incarnation are carried out by this one
+	rejectNext     Verdict
+	stopDelay      time.Duration // how long a stop takes
+	connectErr     error         // result of connecting to the worker, nil if it accepts connections
+	callErr        error         // result of all calls, nil if they succeed
+	lostHolds      []HoldCall    // lists that were lost
+	tokensToIgnore int           // calls for another incarnation whose tokens are ignored
+	holdsToDrop    int           // lists to leave unanswered, each until its call times out
+	starts         []StartCall
+	figures        map[string]float64 // figures of the runs, by job
+	paces          []receivedPace
+}
+
+// receivedPace is a pace call with the time of its arrival.
+type receivedPace struct {
 	PaceCall
 	at time.Time
 }
@@ -54,18 +54,18 @@
 	return &fakeWorker{id: id, running: make(map[runKey]bool), fences: make(map[jobs.Ref]uint32), begun: time.Now(), changed: make(chan struct{})}
 }
 
-// fail loses the answers of the next starts, and rejects one that is answered.
+// fail loses the answers to the next starts, and rejects one that is answered.
 func (w *fakeWorker) fail(loseStart int, reject Verdict) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.loseStart, w.rejectNext = loseStart, reject
 }
 
-// mute leaves the next lists unanswered.
-func (w *fakeWorker) mute(holds int) {
+// dropHolds leaves the next lists unanswered.
+func (w *fakeWorker) dropHolds(holds int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.muteHolds = holds
+	w.holdsToDrop = holds
 }
 
 func (w *fakeWorker) clock() int64 { return 1000 + time.Since(w.begun).Milliseconds() }
@@ -74,9 +74,9 @@
 	r := Reply{ClockMS: w.clock()}
 	switch {
 	case t.Worker != w.id:
-		if w.unseen > 0 { // the call was under way to the incarnation before
-			w.unseen--
-		} else if w.sameID { // it is asked who it is, with the call's token
+		if w.tokensToIgnore > 0 { // the call was in flight to the previous incarnation
+			w.tokensToIgnore--
+		} else if w.sameID { // the identity check carries the call's token
 			w.token = max(w.token, t.Token)
 		}
 		r.Verdict = VerdictElsewhere
@@ -93,8 +93,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tried++
-	if w.failing != nil {
-		return Reply{}, w.failing
+	if w.callErr != nil {
+		return Reply{}, w.callErr
 	}
 	if w.notSent > 0 {
 		w.notSent--
@@ -143,19 +143,19 @@
 	}
 	w.fences[c.Task] = max(w.fences[c.Task], c.Run)
 	key := runKey{c.Task, c.Run}
-	if w.stopping > 0 {
-		time.AfterFunc(w.stopping, func() { w.endIfRunning(key, jobs.OutcomeStopped) })
+	if w.stopDelay > 0 {
+		time.AfterFunc(w.stopDelay, func() { w.endIfRunning(key, jobs.OutcomeStopped) })
 	} else if w.running[key] {
 		w.finish(key, jobs.OutcomeStopped)
 	}
 	return r, nil
 }
 
-// setStopping makes stops take a while.
-func (w *fakeWorker) setStopping(d time.Duration) {
+// setStopDelay makes stops take a while.
+func (w *fakeWorker) setStopDelay(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stopping = d
+	w.stopDelay = d
 }
 
 func (w *fakeWorker) endIfRunning(key runKey, o jobs.Outcome) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// finish ends a run; the caller holds the lock.
+// finish ends a run. The caller holds the lock.
 func (w *fakeWorker) finish(key runKey, o jobs.Outcome) {
 	delete(w.running, key)
 	w.fences[key.task] = max(w.fences[key.task], key.run)
@@ -178,17 +178,17 @@
 
 func (w *fakeWorker) Hold(c HoldCall) (HoldReply, error) {
 	w.mu.Lock()
-	if err := w.away; err != nil {
+	if err := w.connectErr; err != nil {
 		w.mu.Unlock()
 		return HoldReply{}, err
 	}
-	if err := w.failing; err != nil {
+	if err := w.callErr; err != nil {
 		w.lostHolds = append(w.lostHolds, c)
 		w.mu.Unlock()
 		return HoldReply{}, err
 	}
-	if w.muteHolds > 0 {
-		w.muteHolds--
+	if w.holdsToDrop > 0 {
+		w.holdsToDrop--
 		w.lostHolds = append(w.lostHolds, c)
 		w.mu.Unlock()
 		time.Sleep(c.Wait + CallTimeout)
@@ -217,8 +217,8 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.failing != nil {
-		return HoldReply{}, w.failing
+	if w.callErr != nil {
+		return HoldReply{}, w.callErr
 	}
 	out := HoldReply{Reply: Reply{ClockMS: w.clock()}, Finished: append([]FinishedRun(nil), w.finished...)}
 	for key := range w.running {
@@ -231,15 +231,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r, _ := w.check(c.Target)
-	w.paces = append(w.paces, toldPace{c, time.Now()})
+	w.paces = append(w.paces, receivedPace{c, time.Now()})
 	return r, nil
 }
 
 // paced returns the pace calls so far.
-func (w *fakeWorker) paced() []toldPace {
+func (w *fakeWorker) paced() []receivedPace {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]toldPace(nil), w.paces...)
+	return append([]receivedPace(nil), w.paces...)
 }
 
 func (w *fakeWorker) carryOutLate() {
@@ -248,7 +248,7 @@
 	w.carryOut()
 }
 
-// carryOut carries out what was lost; the caller holds the lock.
+// carryOut carries out the lost starts. The caller holds the lock.
 func (w *fakeWorker) carryOut() {
 	for _, f := range w.late {
 		f()
@@ -262,8 +262,8 @@
 	return w.running[key]
 }
 
-// begin lets a run be at work that nobody asked for in this session.
-func (w *fakeWorker) begin(key runKey) {
+// addRunning adds a running run that was not requested in this session.
+func (w *fakeWorker) addRunning(key runKey) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running[key] = true
@@ -293,26 +293,27 @@
 	return w.cursor
 }
 
-// fall makes all calls end with an error, nil for none any more.
-func (w *fakeWorker) fall(err error) {
+// failCalls makes all calls fail with an error, or succeed again if it is nil.
+func (w *fakeWorker) failCalls(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failing = err
+	w.callErr = err
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// startAgain lets another incarnation stand here that late calls for the one before reach: it
-// bears the same id, and only its name for the product differs.
-func (w *fakeWorker) startAgain(name string) {
+// restartWithSameID replaces the incarnation by one that late calls for the previous one
+// reach: it has the same id, and only the name given to it by the product differs.
+func (w *fakeWorker) restartWithSameID(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.become(name)
 	w.sameID = true
 }
 
-// startAgainWithLate does the same, and carries the late calls out before any other reaches it.
-func (w *fakeWorker) startAgainWithLate(name string) {
+// restartCarryingOutLate does the same, and carries out the late calls before any other call
+// arrives.
+func (w *fakeWorker) restartCarryingOutLate(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.become(name)
@@ -320,22 +321,22 @@
 	w.carryOut()
 }
 
-// replace lets another incarnation stand here.
+// replace replaces the incarnation by another one.
 func (w *fakeWorker) replace(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.become(id)
 }
 
-// become makes the worker another incarnation; the caller holds the lock.
+// become makes the worker another incarnation. The caller holds the lock.
 func (w *fakeWorker) become(id string) {
-	w.id, w.token, w.failing = id, 0, nil
+	w.id, w.token, w.callErr = id, 0, nil
 	w.running, w.finished, w.fences, w.number, w.cursor = make(map[runKey]bool), nil, make(map[jobs.Ref]uint32), 0, 0
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// restart lets another start of the worker stand here, whose clock begins anew.
+// restart replaces the incarnation by another start of the worker, whose clock starts again.
 func (w *fakeWorker) restart(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -343,7 +344,8 @@
 	w.begun, w.leaseEnd = time.Now(), 0
 }
 
-// carryOutLostHolds carries the holds out that ended without an answer, for whoever is there.
+// carryOutLostHolds carries out the lost hold calls on the present incarnation and returns
+// their number.
 func (w *fakeWorker) carryOutLostHolds() (n int) {
 	w.mu.Lock()
 	lost, id := w.lostHolds, w.id
@@ -356,14 +358,14 @@
 	return len(lost)
 }
 
-// lease returns how long the worker's lease goes on.
+// lease returns the remaining time of the worker's lease.
 func (w *fakeWorker) lease() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.leaseEnd-w.clock()) * time.Millisecond
 }
 
-// fakeControl is the control as one agent sees it.
+// fakeControl is the control as seen by one agent.
 type fakeControl struct {
 	mu            sync.Mutex
 	index         uint64
@@ -371,21 +373,21 @@
 	life          string
 	orders        map[runKey]*order
 	ends          []jobs.End
-	endsOf        map[runKey]string // the worker that an end was first told of
-	gone          []string          // workers that the agent reported
+	endsOf        map[runKey]string // the worker that an end was first reported for
+	gone          []string          // workers reported as ended
 	crashes       []jobs.Crash
 	registrations int
 	updates       int      // registrations of sessions that had registered before
-	silent        []string // workers that the agent told as silent
-	down          bool     // answers nothing
+	silent        []string // workers reported as unresponsive
+	down          bool     // does not answer
 	cordoned      bool     // the worker's data centre is out of service
 	termMS        int64
 	changed       chan struct{}
 	onRegister    func() // called at each registration
-	noTokens      bool   // gives no fencing tokens
-	overtakenMS   int64  // told with each end
-	lentMS        int64  // told with registrations that say so
-	lentLate      []bool // what registrations said of that
+	noTokens      bool   // hands out no fencing tokens
+	overtakenMS   int64  // returned with each end
+	lentMS        int64  // returned for registrations with LentLate
+	lentLate      []bool // LentLate of the registrations
 }
 
 type order struct {
@@ -414,8 +416,8 @@
 	c.changed = make(chan struct{})
 }
 
-// lendFor sets the term of the lease.
-func (c *fakeControl) lendFor(d time.Duration) {
+// setTerm sets the term of the lease.
+func (c *fakeControl) setTerm(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.termMS = d.Milliseconds()
@@ -436,7 +438,7 @@
 	return c.worker
 }
 
-// forget makes the agent's present life unknown, as the end of its worker's lease does.
+// forget makes the agent's current session unknown, as the end of its worker's lease does.
 func (c *fakeControl) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -444,7 +446,7 @@
 	c.orders = make(map[runKey]*order)
 }
 
-// lose makes the control drop the worker with its runs, as the end of its lease does.
+// lose drops the worker and its runs, as the end of its lease does.
 func (c *fakeControl) lose() {
 	c.forget()
 	c.mu.Lock()
@@ -452,13 +454,13 @@
 	c.worker = ""
 }
 
-func (c *fakeControl) toldCrashes() []jobs.Crash {
+func (c *fakeControl) reportedCrashes() []jobs.Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]jobs.Crash(nil), c.crashes...)
 }
 
-func (c *fakeControl) toldSilent() int {
+func (c *fakeControl) silenceReports() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.silent)
--- a/runner/fence.go
+++ b/runner/fence.go
@@ -9,16 +9,17 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// fence makes the incarnation refuse the calls of earlier sessions, and learns what they
-// left there. It comes before the registration, on which the control lets what ran on the
-// incarnation before run elsewhere: an order for that one may be carried out late by this
-// one, until it has seen a higher token. And one that was lost for good is never registered
-// again: it would be given tasks that wait there for a whole term each time.
+// fence makes the incarnation refuse the calls of earlier sessions, and reads what they left
+// running. It precedes the registration, since a registration lets the control start the
+// previous incarnation's tasks elsewhere: until this incarnation has seen a higher token, it
+// may carry out a late order that was meant for the previous one. It also keeps a worker that
+// is lost for good from being registered again and again: tasks placed on it would wait for a
+// whole lease term each time.
 func (s *session) fence() bool {
 	if !s.takeToken() {
 		return false
 	}
-	fresh := false // the token was made for this session
+	fresh := false // the token was requested for this session
 	for s.ctx.Err() == nil {
 		to := s.target()
 		reply, err := s.r.worker.Hold(HoldCall{Target: to})
@@ -26,15 +27,15 @@
 		case err != nil:
 			s.sleep(callPause)
 		case reply.Verdict == VerdictDone:
-			s.reached, s.stock, s.stocked = true, reply, time.Now()
-			s.r.relieve(s)
-			return s.before == s.worker || s.clear()
+			s.reached, s.initial, s.initialAt = true, reply, time.Now()
+			s.r.stopEarlierGuards(s)
+			return s.previous == s.worker || s.resolveLateRuns()
 		case reply.Verdict == VerdictFenced && !fresh:
 			fresh = true
-			if !s.askToken() {
+			if !s.requestToken() {
 				return false
 			}
-		case s.refused(reply.Verdict, to):
+		case s.handleRefusal(reply.Verdict, to):
 			return false
 		default:
 			s.sleep(callPause)
@@ -43,44 +44,45 @@
 	return false
 }
 
-// takeToken takes the token that is kept in reserve, or a new one. With a new one the control
-// tells whom it has registered, which after a session that it had lost isn't the worker that
-// this agent registered last.
+// takeToken takes the reserve token, or a new one. The control returns a new token together
+// with the worker that it has registered. After the control has lost a session, this differs
+// from the worker that the agent registered last.
 func (s *session) takeToken() bool {
-	if token := s.r.tokens.next(); token != 0 && !s.r.disowned {
+	if token := s.r.tokens.reserved(); token != 0 && !s.r.deregistered {
 		s.setToken(token)
-		s.before, s.last = s.r.registered, s.r.registered
+		s.previous, s.lastRegistered = s.r.registered, s.r.registered
 		return true
 	}
-	return s.askToken()
+	return s.requestToken()
 }
 
 func (s *session) setToken(token uint64) {
 	s.token.Store(token)
-	s.r.tokens.use(token)
+	s.r.tokens.setCurrent(token)
 }
 
-// stepUp goes on with the token in reserve when the worker has closed its connections or has
-// been silent for long: whoever answers next refuses what was sent before. If that is another
-// incarnation it is fenced at its first answer, long before its first heartbeat is heard and
-// the next session begins.
-func (s *session) stepUp() {
-	token := s.r.tokens.next()
+// switchToReserveToken makes the session use the reserve token after the worker has closed its
+// connections or has not answered for long, so that the process that answers next refuses
+// earlier calls. A successor is thereby fenced with its first answer, long before its first
+// heartbeat arrives and the next session begins.
+func (s *session) switchToReserveToken() {
+	token := s.r.tokens.reserved()
 	if token <= s.token.Load() {
 		return
 	}
-	s.steppedUp.Store(true)
+	s.onReserveToken.Store(true)
 	s.setToken(token)
 	select {
-	case s.spent <- struct{}{}:
+	case s.reserveUsed <- struct{}{}:
 	default:
 	}
 }
 
-// fenceEarly makes an incarnation refuse the calls for the one before while that one's session
-// still ends, which waits for its calls to the control. The next session has the same token.
+// fenceEarly makes a new incarnation refuse the calls for the previous one while the previous
+// session, which waits for its calls to the control, is still ending. The next session uses
+// the same token.
 func (r *Runner) fenceEarly(worker string) {
-	token := r.tokens.next()
+	token := r.tokens.reserved()
 	if token == 0 {
 		return
 	}
@@ -89,13 +91,14 @@
 	}
 }
 
-// askToken asks the control for a token that is higher than all before.
-func (s *session) askToken() bool {
+// requestToken requests a token from the control that is higher than all earlier ones. It
+// returns false if the session ends or the service is unknown.
+func (s *session) requestToken() bool {
 	for s.ctx.Err() == nil {
 		a, err := s.r.newToken(s.announced())
 		if err == nil {
 			s.setToken(a.Token)
-			s.before, s.last = a.Worker, a.Last
+			s.previous, s.lastRegistered = a.Worker, a.Last
 			return true
 		}
 		if s.unknownService(err) {
@@ -113,44 +116,45 @@
 	return answer, err
 }
 
-// canFence reports whether the worker's next start, if a call that is sent with a token may reach
-// it, can be made to refuse that call: a higher token is in reserve. Without one the next start
-// could be fenced by nobody while the control is away.
+// canFence reports whether a call with the given token, if it can reach the worker's successor
+// at all, can be refused there: a higher token is in reserve. Without one, nothing could fence
+// the successor while the control is unreachable.
 func (s *session) canFence(token uint64) bool {
-	return s.announced().OwnID || s.r.tokens.next() > token
+	return s.announced().OwnID || s.r.tokens.reserved() > token
 }
 
-// keepToken keeps a token in reserve.
-func (s *session) keepToken() {
+// maintainReserve keeps a token in reserve.
+func (s *session) maintainReserve() {
 	for s.ctx.Err() == nil {
-		pause := leaseEvery
-		if waited := !s.canFence(s.token.Load()); waited || s.r.tokens.next() == 0 {
+		pause := renewInterval
+		if waited := !s.canFence(s.token.Load()); waited || s.r.tokens.reserved() == 0 {
 			a, err := s.r.newToken(s.announced())
 			if err == nil {
-				s.r.tokens.keep(a.Token)
+				s.r.tokens.setReserve(a.Token)
 				s.wakeRuns()
 			} else {
 				refusal.CountRetry(part, codeOf(err))
-				if waited { // by starts
+				if waited { // starts wait for the token
 					pause = callPause
 				}
 			}
 		}
 		select {
 		case <-s.ctx.Done():
-		case <-s.spent:
+		case <-s.reserveUsed:
 		case <-time.After(pause):
 		}
 	}
 }
 
-// clear ends what orders for the incarnation before have begun on this one, and commits its
-// ends as that one's: a task that is done here must not be started again.
-func (s *session) clear() bool {
-	for len(s.stock.Running) > 0 {
-		for _, x := range s.stock.Running {
+// resolveLateRuns stops the runs that orders for the previous incarnation have started on this
+// one, and commits their ends as the previous incarnation's: a task that has completed here
+// must not be started again.
+func (s *session) resolveLateRuns() bool {
+	for len(s.initial.Running) > 0 {
+		for _, x := range s.initial.Running {
 			logrus.WithFields(logrus.Fields{"worker": s.worker, "task": x.Task.String(), "run": x.Run}).
-				Warn("runner: An order for the incarnation before was carried out late; the run is stopped.")
+				Warn("runner: An order for the previous incarnation was carried out late; stopping the run.")
 			if _, err := s.r.worker.Stop(StopCall{Target: s.target(), Task: x.Task, Run: x.Run}); err != nil {
 				uncertainTotal.Inc()
 			}
@@ -162,66 +166,68 @@
 		case s.ctx.Err() != nil:
 			return false
 		case err == nil && reply.Verdict == VerdictDone:
-			s.stock = reply
-		case err == nil && s.refused(reply.Verdict, to):
+			s.initial = reply
+		case err == nil && s.handleRefusal(reply.Verdict, to):
 			return false
 		}
 	}
 	return s.commitLateEnds()
 }
 
-// commitLateEnds commits the ends in stock as the incarnation's before, also if the control has
-// lost that one meanwhile: a task that waits must not be placed on the registration.
+// commitLateEnds commits the ends in initial as the previous incarnation's, even if the
+// control has lost that one meanwhile: the registration must not let the control place tasks
+// again that have ended here.
 func (s *session) commitLateEnds() bool {
-	if len(s.stock.Finished) == 0 {
+	if len(s.initial.Finished) == 0 {
 		return true
 	}
-	var batch []report
-	for _, f := range s.stock.Finished {
-		logrus.WithFields(logrus.Fields{"worker": s.worker, "before": s.before, "task": f.Task.String(), "run": f.Run, "how": f.How}).
-			Warn("runner: A run of the incarnation before has ended on this one.")
+	var batch []endReport
+	for _, f := range s.initial.Finished {
+		logrus.WithFields(logrus.Fields{"worker": s.worker, "before": s.previous, "task": f.Task.String(), "run": f.Run, "how": f.How}).
+			Warn("runner: A run ordered for the previous incarnation has ended on this one.")
 		end := jobs.End{Task: f.Task, Run: f.Run, Outcome: f.Outcome, Checkpoint: f.Checkpoint}
-		batch = append(batch, report{end: end, number: f.Number, at: time.Now()})
-		s.seen = max(s.seen, f.Number)
+		batch = append(batch, endReport{end: end, number: f.Number, at: time.Now()})
+		s.highestEnd = max(s.highestEnd, f.Number)
 		s.mu.Lock()
-		s.markEnded(runKey{f.Task, f.Run}) // it is listed again until it is acknowledged
+		s.markEnded(runKey{f.Task, f.Run}) // listed again until it is acknowledged
 		s.mu.Unlock()
 	}
-	s.stock.Finished = nil
-	a, ok := s.commit(s.before, batch)
-	if ok && a.OvertakenMS > 0 && s.last != s.worker && !s.announced().OwnID {
-		ok = s.awaitLapse(time.Duration(a.OvertakenMS) * time.Millisecond)
+	s.initial.Finished = nil
+	a, ok := s.commit(s.previous, batch)
+	if ok && a.OvertakenMS > 0 && s.lastRegistered != s.worker && !s.announced().OwnID {
+		ok = s.awaitLeaseExpiry(time.Duration(a.OvertakenMS) * time.Millisecond)
 	}
 	return ok
 }
 
-// awaitLapse waits until the worker's lease has lapsed, which nobody extends before it is
-// registered. It runs nothing. Ends that were late starts' and whose tasks are started again may be
-// acknowledged only then.
-func (s *session) awaitLapse(term time.Duration) bool {
-	logrus.WithFields(logrus.Fields{"worker": s.worker, "before": s.before, "term_ms": term.Milliseconds()}).
-		Warn("runner: Tasks that ended late here have been started again; the worker's lease is let lapse first.")
+// awaitLeaseExpiry waits until the worker's lease, of length term, has expired. The worker is
+// not registered yet, so nothing extends the lease, and nothing runs on it. Ends of late
+// starts whose tasks have been started again elsewhere may be acknowledged only then.
+func (s *session) awaitLeaseExpiry(term time.Duration) bool {
+	logrus.WithFields(logrus.Fields{"worker": s.worker, "before": s.previous, "term_ms": term.Milliseconds()}).
+		Warn("runner: Tasks whose late runs ended here have been started again; waiting for the worker's lease to expire.")
 	for end := time.Now().Add(term); time.Now().Before(end); s.sleep(holdWait) {
 		to := s.target()
 		reply, err := s.r.worker.Hold(HoldCall{Target: to})
-		if s.ctx.Err() != nil || (err == nil && s.refused(reply.Verdict, to)) {
+		if s.ctx.Err() != nil || (err == nil && s.handleRefusal(reply.Verdict, to)) {
 			return false
 		}
 	}
 	return true
 }
 
-// takeStock takes in what the incarnation ran when it was fenced. No start of an earlier
-// session can take effect any more, so what it doesn't list was certainly never started.
-func (s *session) takeStock() {
-	if len(s.stock.Running)+len(s.stock.Finished) > 0 {
-		logrus.WithFields(logrus.Fields{"worker": s.worker, "life": s.life, "before": s.before, "running": len(s.stock.Running), "finished": len(s.stock.Finished),
-			"registered": s.registered.Load(), "since_list_ms": time.Since(s.stocked).Milliseconds()}).Info("runner: Took over what the worker runs.")
-	}
-	for _, x := range s.stock.Running {
-		s.ensure(jobs.Order{Task: x.Task, Run: x.Run}).setStarted()
-	}
-	s.renew(s.stock.ClockMS)
-	s.list(s.stock)
-	s.stock = HoldReply{}
+// adoptRuns takes over what the incarnation was running when it was fenced. No start of an
+// earlier session can take effect any more, so a run that is not listed was certainly never
+// started.
+func (s *session) adoptRuns() {
+	if len(s.initial.Running)+len(s.initial.Finished) > 0 {
+		logrus.WithFields(logrus.Fields{"worker": s.worker, "life": s.id, "before": s.previous, "running": len(s.initial.Running), "finished": len(s.initial.Finished),
+			"registered": s.registered.Load(), "since_list_ms": time.Since(s.initialAt).Milliseconds()}).Info("runner: Took over the worker's runs.")
+	}
+	for _, x := range s.initial.Running {
+		s.runFor(jobs.Order{Task: x.Task, Run: x.Run}).setStarted()
+	}
+	s.renew(s.initial.ClockMS)
+	s.processEnds(s.initial)
+	s.initial = HoldReply{}
 }
--- a/runner/fence_test.go
+++ b/runner/fence_test.go
@@ -7,23 +7,23 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// leaveAStartUnanswered orders a run whose start gets no answer however often it is tried.
+// leaveAStartUnanswered orders a run whose start gets no answer, however often it is repeated.
 func (b *bench) leaveAStartUnanswered() {
 	b.worker.fail(1<<20, VerdictDone)
 	b.ctl.give(startOf(runA1))
 	time.Sleep(400 * time.Millisecond)
 }
 
-// startAgainWithLate crashes the worker while a start is unanswered, and lets its next start
-// carry the order out before anybody has called it.
-func (b *bench) startAgainWithLate(meanwhile func()) {
+// restartCarryingOutLate crashes the worker while a start is unanswered, and lets its
+// successor carry out the order before any other call reaches it.
+func (b *bench) restartCarryingOutLate(meanwhile func()) {
 	b.leaveAStartUnanswered()
-	b.worker.fall(ErrClosed)
+	b.worker.failCalls(ErrClosed)
 	b.worker.fail(0, VerdictDone)
 	time.Sleep(time.Second)
-	b.worker.startAgainWithLate("w2")
+	b.worker.restartCarryingOutLate("w2")
 	if !b.worker.isRunning(runA1) {
-		b.t.Fatal("the late start is not carried out: nothing is shown")
+		b.t.Fatal("the test needs the late start to be carried out")
 	}
 	meanwhile()
 	b.seq = 0
@@ -34,109 +34,109 @@
 	}
 }
 
-// Guards against a task at two places: a start that went unanswered runs on the worker's next
-// start, while the control takes its run for void and starts it elsewhere.
+// Guards against a task that runs twice: an unanswered start runs on the worker's successor,
+// while the control treats the run as void and starts the task elsewhere.
 func TestLateStartOnTheNextIncarnationIsStoppedBeforeItsRegistration(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		running := false
 		b.ctl.onRegister = func() { running = running || b.worker.isRunning(runA1) }
-		b.startAgainWithLate(func() {})
+		b.restartCarryingOutLate(func() {})
 		if running {
-			t.Error("the control lets the run go on elsewhere while it is at work here")
+			t.Error("the worker was registered while the late run was still running")
 		}
 		b.wantEnd(runA1, jobs.OutcomeStopped)
 	})
 }
 
-// Guards against a done task that is started again: its unanswered start was carried out by
-// the worker's next start, and its end told as nobody's.
+// Guards against a completed task that is started again: its unanswered start was carried out
+// by the worker's successor, and its end was not attributed to the worker it was ordered for.
 func TestLateStartThatEndsOnTheNextIncarnationIsDone(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
-		b.startAgainWithLate(func() { b.worker.end(runA1, jobs.OutcomeDone) })
+	withBench(t, func(t *testing.T, b *bench) {
+		b.restartCarryingOutLate(func() { b.worker.end(runA1, jobs.OutcomeDone) })
 		b.wantEnd(runA1, jobs.OutcomeDone)
 		if w := b.ctl.endsOf[runA1]; w != "w1" {
-			t.Errorf("the end was told of worker %q, the run was ordered for w1", w)
+			t.Errorf("the end was reported for worker %q, the run was ordered for w1", w)
 		}
 		if b.worker.acknowledged() != 1 {
-			t.Errorf("ends up to %d are acknowledged", b.worker.acknowledged())
+			t.Errorf("ends are acknowledged up to %d", b.worker.acknowledged())
 		}
 	})
 }
 
-// Guards against late calls on a worker's next start while the control is away: only a token
-// in reserve can make it refuse them at its first answer.
+// Guards against late calls to a worker's successor while the control is unreachable: only a
+// token in reserve can make the successor refuse them with its first answer.
 func TestNextIncarnationIsFencedWhileTheControlIsAway(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.leaveAStartUnanswered()
-		b.worker.fall(ErrClosed)
+		b.worker.failCalls(ErrClosed)
 		b.worker.fail(0, VerdictDone)
 		b.ctl.setDown(true)
 		time.Sleep(time.Second)
-		b.worker.startAgain("w2")
+		b.worker.restartWithSameID("w2")
 		b.seq = 0
 		b.announce("w2", false)
 		time.Sleep(time.Second)
 		b.worker.carryOutLate()
 		if b.worker.isRunning(runA1) {
-			t.Error("a start for the incarnation before was carried out after the first call to this one")
+			t.Error("a start for the previous incarnation was carried out after the first call to this one")
 		}
 		b.ctl.setDown(false)
 	})
 }
 
-// Guards against late starts on a worker's next start until its first heartbeat is heard: the
-// session of the one before asks who is there, and has to do so with a token in reserve that
-// starts which are tried meanwhile don't spend.
+// Guards against late starts on a worker's successor before its first heartbeat. The previous
+// session must probe the address with the reserve token, and starts that are attempted
+// meanwhile must not use it up.
 func TestNextIncarnationIsFencedBeforeItsFirstHeartbeat(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.leaveAStartUnanswered()
-		b.worker.fall(ErrClosed)
+		b.worker.failCalls(ErrClosed)
 		time.Sleep(time.Second)
 		b.worker.fail(0, VerdictDone)
-		b.worker.startAgain("w2")
+		b.worker.restartWithSameID("w2")
 		time.Sleep(2 * callPause)
 		b.worker.carryOutLate()
 		if b.worker.isRunning(runA1) {
-			t.Error("a start for the incarnation before was carried out after the agent's first call")
+			t.Error("a start for the previous incarnation was carried out after the agent's first call")
 		}
 	})
 }
 
-// Guards against a session that a call with its older token ends: it was under way when the
-// session went on to the token in reserve.
+// Guards against a session that ends because of its own older token: the call was in flight
+// when the session switched to the reserve token.
 func TestCallWithTheTokenBeforeIsRepeated(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		s := b.session()
 		before := s.target()
-		s.stepUp()
+		s.switchToReserveToken()
 		if s.target().Token <= before.Token {
-			t.Fatal("there was no token in reserve: nothing is shown")
+			t.Fatal("the test needs a token in reserve")
 		}
-		if s.refused(VerdictFenced, before) {
-			t.Error("the session ended on its own older token")
+		if s.handleRefusal(VerdictFenced, before) {
+			t.Error("the session ended because of its own older token")
 		}
-		if !s.refused(VerdictFenced, s.target()) {
-			t.Error("the session goes on though another one's token is higher")
+		if !s.handleRefusal(VerdictFenced, s.target()) {
+			t.Error("the session goes on though another session's token is higher")
 		}
 	})
 }
 
-// Guards against a late start that goes on for as long as the control is away, while its
-// task's lease ends and it is started elsewhere.
+// Guards against a late start that continues for as long as the control is unreachable, while
+// its task's lease ends and the task is started elsewhere.
 func TestLateStartIsStoppedWhileTheControlIsAway(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.leaveAStartUnanswered()
 		b.ctl.setDown(true)
-		b.worker.fall(ErrClosed)
-		time.Sleep(time.Second) // meanwhile the start is tried again
+		b.worker.failCalls(ErrClosed)
+		time.Sleep(time.Second) // meanwhile the start is repeated
 		b.worker.fail(0, VerdictDone)
-		b.worker.startAgainWithLate("w2")
+		b.worker.restartCarryingOutLate("w2")
 		b.seq = 0
 		b.announce("w2", false)
 		time.Sleep(2*controlTimeout + time.Second)
 		if b.worker.isRunning(runA1) {
-			t.Error("the run goes on")
+			t.Error("the late run goes on")
 		}
 		b.ctl.setDown(false)
 		time.Sleep(2 * time.Second)
@@ -144,14 +144,14 @@
 	})
 }
 
-// Guards against starts that wait for the worker's next end, or a whole list's time, after a
-// connection was reset.
+// Guards against starts that wait, after a connection was reset, for the worker's next end or
+// for the full wait of a list.
 func TestStartsGoOnSoonAfterAReset(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		b.worker.fall(ErrClosed)
+		b.worker.failCalls(ErrClosed)
 		time.Sleep(callPause)
-		b.worker.fall(nil)
+		b.worker.failCalls(nil)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(5 * callPause) // less than holdWait
 		if !b.worker.isRunning(runA1) {
--- a/runner/guard.go
+++ b/runner/guard.go
@@ -9,154 +9,159 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A worker that bears the id of the start before it carries out what was sent to that one, until
-// it has seen a higher fencing token. So whenever it is in doubt who stands at the worker's
-// address, the agent asks, several times at once: the call that fences may itself go unanswered.
+// A worker that has the same id as its previous start carries out the calls sent to that one
+// until it has seen a higher fencing token. Whenever the incarnation at the worker's address
+// is in doubt, the agent therefore probes it with several calls at a time, since the fencing
+// call may itself go unanswered.
 
 const (
-	// guardEvery separates these calls. A late call has that long to come before them.
-	guardEvery = 25 * time.Millisecond
-	// guardCalls is how many are under way where none is answered.
-	guardCalls = int(CallTimeout / guardEvery)
-	// guardFor is for how long an address is asked where nobody answers, far longer than a call
-	// is held up.
-	guardFor = 15 * time.Second
-	// listSlack is how long after its time a list counts as unanswered, and the pause between
-	// two looks at whether anything is in doubt.
+	// guardInterval is the time between probes, and thus the time that a late call has to
+	// arrive before one of them.
+	guardInterval = 25 * time.Millisecond
+	// maxGuardCalls is the number of probes in flight when none is answered.
+	maxGuardCalls = int(CallTimeout / guardInterval)
+	// guardTimeout is how long an unresponsive address is probed, far longer than a call is
+	// delayed.
+	guardTimeout = 15 * time.Second
+	// listSlack is how long after its deadline a list counts as unanswered, and the interval
+	// at which guard checks whether a probe is needed.
 	listSlack = 50 * time.Millisecond
 )
 
-// guard fences the incarnation that follows the session's. It outlives the session, which may wait
-// for the control for seconds, and ends once the next incarnation is fenced, by it or by the next
-// session.
+// guard fences the incarnation that follows the session's. It outlives the session, since
+// ending a session may wait for the control for seconds, and returns once the successor is
+// fenced by it or by the next session.
 func (s *session) guard(ctx context.Context) {
-	defer s.relieved.Store(true)
+	defer s.guardDone.Store(true)
 	if s.announced().OwnID {
 		return
 	}
-	calls := make(chan struct{}, guardCalls)
-	s.heardAt.Store(s.age())
+	calls := make(chan struct{}, maxGuardCalls)
+	s.identityKnownAt.Store(s.age())
 	pause := listSlack
-	for !s.relieved.Load() {
+	for !s.guardDone.Load() {
 		select {
 		case <-ctx.Done():
-		case <-s.doubt:
-			go s.askWho()
+		case <-s.probeRequests:
+			go s.probe()
 			continue
 		case <-time.After(pause):
 		}
 		if ctx.Err() != nil {
-			return // what is left is the next life's
+			return // the agent's next process takes over
 		}
-		if pause = guardEvery; !s.inDoubt() {
+		if pause = guardInterval; !s.mayBeReplaced() {
 			pause = listSlack
-			s.heardAt.Store(s.age())
+			s.identityKnownAt.Store(s.age())
 			continue
 		}
-		if s.age()-s.heardAt.Load() > int64(guardFor) {
+		if s.age()-s.identityKnownAt.Load() > int64(guardTimeout) {
 			return
 		}
 		select {
 		case calls <- struct{}{}:
 			go func() {
 				defer func() { <-calls }()
-				s.askWho()
+				s.probe()
 			}()
 		default:
 		}
 	}
 }
 
-// inDoubt reports whether another incarnation may stand at the worker's address. A worker that
-// leaves may be followed at any moment.
-func (s *session) inDoubt() bool {
+// mayBeReplaced reports whether another incarnation may be at the worker's address. A draining
+// worker may be replaced at any moment.
+func (s *session) mayBeReplaced() bool {
 	if s.ctx.Err() != nil || !s.fenced.Load() || s.draining() {
 		return true
 	}
-	if due := s.listDue.Load(); due != 0 && s.age() > due {
+	if due := s.listDeadline.Load(); due != 0 && s.age() > due {
 		return true
 	}
-	_, silent := s.r.contact.silence(s.worker)
-	return silent
+	_, unresponsive := s.r.liveness.outage(s.worker)
+	return unresponsive
 }
 
-// age is for how long the session has gone on, in ns by the steady clock: the time of day jumps.
+// age returns how long the session has lasted, in ns by the monotonic clock: the wall clock
+// jumps.
 func (s *session) age() int64 { return int64(time.Since(s.began)) }
 
-// askWho asks whoever stands at the worker's address for a list, which fences what was sent with
-// lower tokens.
-func (s *session) askWho() {
+// probe requests a list from the incarnation at the worker's address, which thereby refuses
+// calls with lower tokens.
+func (s *session) probe() {
 	if s.ctx.Err() != nil {
-		s.stepUp()
+		s.switchToReserveToken()
 	}
 	to := s.target()
 	if to.Token == 0 {
-		return // the session hasn't begun
+		return // the session has not begun
 	}
-	known := s.nextKnown.Load()
+	known := s.successorKnown.Load()
 	reply, err := s.r.worker.Hold(HoldCall{Target: to})
 	if err == nil {
-		s.heardAt.Store(s.age())
+		s.identityKnownAt.Store(s.age())
 	}
 	switch {
 	case errors.Is(err, ErrClosed):
-		s.stepUp()
+		s.switchToReserveToken()
 	case err != nil:
 	case reply.Verdict == VerdictElsewhere:
-		s.sawNext(to, known)
+		s.successorAnswered(to, known)
 	case reply.Verdict == VerdictFenced && s.fenced.Load() && to.Token == s.token.Load():
-		s.relieved.Store(true) // a later session has a higher token
+		s.guardDone.Store(true) // a later session has a higher token
 	}
 }
 
-// sawNext takes in that another incarnation answered a call. It is fenced by a call whose token is
-// higher than those of all starts, and which was made when it was known to be there: one that was
-// under way to the incarnation before may have been answered without a look at its token.
-func (s *session) sawNext(to Target, known bool) {
-	if known && to.Token > s.r.started.Load() {
-		if !s.relieved.Swap(true) {
-			logrus.WithFields(logrus.Fields{"worker": s.worker, "life": s.life, "token": to.Token}).Info("runner: The incarnation after this one is fenced.")
+// successorAnswered handles an answer from another incarnation. known says that the call was
+// made when the successor was known to be there. Only such a call fences it, and only with a
+// token higher than that of every start: a call in flight to the previous incarnation may have
+// been answered without regard to its token.
+func (s *session) successorAnswered(to Target, known bool) {
+	if known && to.Token > s.r.maxStartToken.Load() {
+		if !s.guardDone.Swap(true) {
+			logrus.WithFields(logrus.Fields{"worker": s.worker, "life": s.id, "token": to.Token}).Info("runner: The successor of this incarnation is fenced.")
 		}
 		return
 	}
-	s.nextKnown.Store(true)
+	s.successorKnown.Store(true)
 	if s.ctx.Err() == nil {
-		s.gone.Store(true)
-		s.end("another incarnation stands at the worker's address")
+		s.final.Store(true)
+		s.end("another incarnation is at the worker's address")
 	}
 }
 
-// askAtOnce has the guard ask without a pause.
-func (s *session) askAtOnce() {
+// probeNow makes the guard probe without waiting for the next interval.
+func (s *session) probeNow() {
 	select {
-	case s.doubt <- struct{}{}:
+	case s.probeRequests <- struct{}{}:
 	default:
 	}
 }
 
-// relieve ends the guards of earlier sessions: this one's incarnation has seen its token.
-func (r *Runner) relieve(s *session) {
+// stopEarlierGuards ends the guards of earlier sessions, once this session's incarnation has
+// seen its token.
+func (r *Runner) stopEarlierGuards(s *session) {
 	s.fenced.Store(true)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, g := range r.guards {
 		if g != s {
-			g.relieved.Store(true)
+			g.guardDone.Store(true)
 		}
 	}
 	r.guards = []*session{s}
 }
 
-// setGuard begins the guard of a session.
-func (r *Runner) setGuard(ctx context.Context, s *session) {
+// startGuard starts the guard of a session.
+func (r *Runner) startGuard(ctx context.Context, s *session) {
 	r.mu.Lock()
-	r.guards = append(slices.DeleteFunc(r.guards, func(g *session) bool { return g.relieved.Load() }), s)
+	r.guards = append(slices.DeleteFunc(r.guards, func(g *session) bool { return g.guardDone.Load() }), s)
 	r.mu.Unlock()
 	go s.guard(ctx)
 }
 
-// noteStarted keeps the highest token that a start was sent with.
-func (r *Runner) noteStarted(token uint64) {
-	for seen := r.started.Load(); seen < token && !r.started.CompareAndSwap(seen, token); seen = r.started.Load() {
+// recordStartToken records the highest token that a start was sent with.
+func (r *Runner) recordStartToken(token uint64) {
+	for seen := r.maxStartToken.Load(); seen < token && !r.maxStartToken.CompareAndSwap(seen, token); seen = r.maxStartToken.Load() {
 	}
 }
--- a/runner/lapse_test.go
+++ b/runner/lapse_test.go
@@ -7,30 +7,30 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// lateEnd lets the worker's next start carry out a start for the one before, which ends there, and
-// returns when that start was announced.
-func (b *bench) lateEnd(overtaken time.Duration) time.Time {
+// endLateRun makes the worker's successor carry out a start for the previous incarnation and
+// end that run, announces the successor, and returns the time of the announcement.
+func (b *bench) endLateRun(overtaken time.Duration) time.Time {
 	b.ctl.mu.Lock()
 	b.ctl.overtakenMS = overtaken.Milliseconds()
 	b.ctl.mu.Unlock()
 	b.leaveAStartUnanswered()
-	b.worker.fall(ErrClosed)
+	b.worker.failCalls(ErrClosed)
 	b.worker.fail(0, VerdictDone)
 	time.Sleep(time.Second)
-	b.worker.startAgainWithLate("w2")
+	b.worker.restartCarryingOutLate("w2")
 	b.worker.end(runA1, jobs.OutcomeDone)
 	b.seq = 0
 	b.announce("w2", false)
 	return time.Now()
 }
 
-// Guards against a task that is started after an acknowledged end: its late start ended as done
-// where nobody knew of it, and it has been started elsewhere since.
+// Guards against a task that is started after its end was acknowledged: its late start
+// completed unknown to the control, which has started the task elsewhere since.
 func TestOvertakenLateEndIsAcknowledgedOnlyOnceTheLeaseHasLapsed(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		const longest = 10 * time.Second
-		begun := b.lateEnd(longest)
+		begun := b.endLateRun(longest)
 		lent := b.worker.lease()
 		for b.worker.acknowledged() == 0 && time.Since(begun) < 2*longest {
 			if b.worker.lease() > lent {
@@ -46,16 +46,16 @@
 		b.ctl.give(startOf(runB1))
 		time.Sleep(time.Second)
 		if !b.worker.isRunning(runB1) {
-			t.Error("the worker isn't used afterwards")
+			t.Error("nothing is started on the worker afterwards")
 		}
 	})
 }
 
-// Guards against a worker that stands idle for a lease though no task was started again.
+// Guards against a worker that is idle for a lease term though no task was started again.
 func TestLateEndIsAcknowledgedAtOnce(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		b.lateEnd(0)
+		b.endLateRun(0)
 		time.Sleep(time.Second)
 		if b.worker.acknowledged() == 0 {
 			t.Error("the end isn't acknowledged")
--- a/runner/late_cancel_test.go
+++ b/runner/late_cancel_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// A start goes unanswered and its job is cancelled. Its starter is killed before it can
-// stop the run, and the worker carries the start out seconds later. Whoever takes the
-// worker over must end it: its job is over, and nobody else asks about the run.
+// Guards against a run of a cancelled job that continues: its start went unanswered, the agent
+// was killed before it could stop the run, and the worker carries out the start seconds later.
+// The agent's next process must end it, since the control no longer asks about the run.
 //
-// The worker may carry it out before the next life's first call, which it then takes stock
-// by, or after, when the next life's fencing token is the higher one.
+// The worker may carry out the start before the next process's first call, which then lists
+// the run, or later, when the next process's higher fencing token must prevent it.
 func TestLateStartOfACancelledJobEndsWithoutItsStarter(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		beforeNext bool
-	}{{"before the next life", true}, {"after the next life began", false}} {
+	}{{"before the next process", true}, {"after the next process has started", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(t *testing.T, b *bench) {
+			withBench(t, func(t *testing.T, b *bench) {
 				b.worker.fail(1<<20, VerdictDone)
 				b.ctl.give(startOf(runA1))
 				time.Sleep(100 * time.Millisecond)
-				b.stop() // long enough before the lease ends
+				b.stop() // long before the lease ends
 				b.worker.fail(0, VerdictDone)
-				b.ctl.give(stopOf(runA1)) // the cancel, committed while nobody is there
+				b.ctl.give(stopOf(runA1)) // the cancel, committed while no agent is running
 				if c.beforeNext {
 					b.worker.carryOutLate()
 					if !b.worker.isRunning(runA1) {
-						t.Fatal("the late start is not carried out: nothing is shown")
+						t.Fatal("the test needs the late start to be carried out")
 					}
 				}
 				b.begin()
@@ -38,17 +38,18 @@
 					time.Sleep(time.Second)
 				}
 				if b.worker.isRunning(runA1) {
-					t.Error("the task of the cancelled job runs on")
+					t.Error("the task of the cancelled job still runs")
 				}
 			})
 		})
 	}
 }
 
-// The cancel comes while the start is unanswered, and its starter lives. The worker carries
-// the start out three seconds later: it must not run then, and the run is given back once.
+// Guards against an unanswered start that takes effect after its job was cancelled, while the
+// agent continues. The worker carries it out three seconds later: the run must not start, and
+// it must be reported exactly once.
 func TestLateStartAfterACommittedCancelNeverRuns(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.fail(1<<20, VerdictDone)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(100 * time.Millisecond)
@@ -58,7 +59,7 @@
 		b.worker.carryOutLate()
 		time.Sleep(time.Second)
 		if b.worker.isRunning(runA1) {
-			t.Error("the task of the cancelled job runs on")
+			t.Error("the task of the cancelled job still runs")
 		}
 		if _, n := b.ctl.ended(runA1); n != 1 {
 			t.Errorf("its end was reported %d times", n)
--- a/runner/outlast_test.go
+++ b/runner/late_lease_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against a leader that waits for the longest lease long after nothing of it is left.
+// Guards against a leader that waits for the longest lease long after it has expired.
 func TestLongestLeaseIsTakenBackOnceItHasPassed(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.mu.Lock()
 		b.ctl.lentMS = 10_000
 		b.ctl.mu.Unlock()
@@ -20,16 +20,16 @@
 			return slices.Clone(b.ctl.lentLate)
 		}
 		if s := said(); slices.Contains(s, false) {
-			t.Fatalf("taken back early: %v", s)
+			t.Fatalf("cleared early: %v", s)
 		}
 		time.Sleep(3 * time.Second)
 		if s := said(); s[len(s)-1] {
-			t.Errorf("not taken back: %v", s)
+			t.Errorf("not cleared: %v", s)
 		}
 		b.session().end("the test ends it")
 		time.Sleep(time.Second)
 		if s := said(); s[len(s)-1] {
-			t.Errorf("the next session beside the same worker says it again: %v", s)
+			t.Errorf("the next session with the same incarnation sets it again: %v", s)
 		}
 	})
 }
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -9,18 +9,18 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// pace slows filling runs down that disturb serving ones.
+// pace slows down filling runs that disturb serving ones.
 func (s *session) pace(running []RunningRun) {
 	s.logReading(running)
 	s.setPaces(s.pacer.next(time.Now(), running, s.lookup))
-	for _, x := range s.pacer.takeSpells() {
-		s.logSpell(x)
+	for _, x := range s.pacer.takeViolations() {
+		s.logViolation(x)
 	}
 }
 
-// logSpell tells when served tasks are over their target and when no more.
-func (s *session) logSpell(x spell) {
-	l := logrus.WithFields(logrus.Fields{"worker": s.worker, "job": x.crew.job, "image": x.crew.image, "runs": x.runs, "beside": x.beside})
+// logViolation logs that served tasks exceed their target or no longer do.
+func (s *session) logViolation(x violation) {
+	l := logrus.WithFields(logrus.Fields{"worker": s.worker, "job": x.group.job, "image": x.group.image, "runs": x.runs, "beside": x.culprit})
 	if !x.ended.IsZero() {
 		l.WithField("lasted_ms", x.ended.Sub(x.began).Milliseconds()).Info("runner: Served tasks are within their target again.")
 		return
@@ -29,17 +29,17 @@
 	l.WithFields(logrus.Fields{"tail_ms": x.tailMS, "target_ms": x.target, "own_headroom": own}).Info("runner: Served tasks are over their target.")
 }
 
-// setPaces tells the worker paces, without waiting for its answers.
+// setPaces sends pace calls to the worker without waiting for the answers.
 func (s *session) setPaces(calls []PaceCall) {
 	for _, c := range calls {
-		s.noteSlowed(c)
-		if s.paces.ask(c) {
+		s.markSlowed(c)
+		if s.paces.put(c) {
 			go s.sendPaces(runKey{c.Task, c.Run})
 		}
 	}
 }
 
-// sendPaces sends what is asked for of one run until nothing is left.
+// sendPaces sends the pace calls that are queued for a run until none is left.
 func (s *session) sendPaces(key runKey) {
 	for {
 		c, ok := s.paces.next(key)
@@ -52,7 +52,7 @@
 		if err != nil || reply.Verdict != VerdictDone {
 			s.pacer.failed(c)
 			if err == nil {
-				s.refused(reply.Verdict, c.Target)
+				s.handleRefusal(reply.Verdict, c.Target)
 			}
 			l.Warnf("runner: Could not set a run's pace: %v %v.", reply.Verdict, err)
 			continue
@@ -61,8 +61,8 @@
 	}
 }
 
-// logReading writes what a worker shows of its runs, at the debug level only: it
-// comes several times a second.
+// logReading logs the worker's readings of its runs. It logs at the debug level only, since
+// readings come several times a second.
 func (s *session) logReading(running []RunningRun) {
 	if !logrus.IsLevelEnabled(logrus.DebugLevel) {
 		return
@@ -73,11 +73,11 @@
 			rows = append(rows, fmt.Sprintf("%s image=%s target=%d percent=%d figure=%.0f fills=%v need=%d", x.Task, o.Image, o.TargetMS, x.Percent, x.Figure, o.Fills, o.MilliCPU))
 		}
 	}
-	logrus.WithField("runs", rows).Debug("runner: Read the worker.")
+	logrus.WithField("runs", rows).Debug("runner: Read the worker's runs.")
 }
 
-// noteSlowed keeps a slowed run from teaching how long its like take.
-func (s *session) noteSlowed(c PaceCall) {
+// markSlowed excludes a slowed run from the statistics of how long similar runs take.
+func (s *session) markSlowed(c PaceCall) {
 	s.mu.Lock()
 	r := s.runs[runKey{c.Task, c.Run}]
 	s.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// fillingImages returns the images of the filling runs at work.
+// fillingImages returns the images of the filling runs, by run.
 func (s *session) fillingImages() map[runKey]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/runner/progress.go
+++ b/runner/progress.go
@@ -7,49 +7,49 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// A run at full pace is stuck once it shows no progress for several times as long
-// as it took for a hundredth so far. Progress is told in hundredths.
+// A run at full pace is stuck once it shows no progress for stuckFactor times its average time
+// per percent so far.
 const (
-	stuckTimes = 8
-	// leastStuck is longer than a restore of saved progress, which takes up to
-	// 0.6 s and shows none.
-	leastStuck = 900 * time.Millisecond
-	// mostStuck is enough for tasks of up to four minutes; unbegun is the bound
-	// for runs that have shown nothing yet.
-	mostStuck = 2500 * time.Millisecond
-	unbegun   = 1500 * time.Millisecond
+	stuckFactor = 8
+	// minStuckAfter is longer than the restore of a checkpoint, which takes up to 0.6 s and
+	// shows no progress.
+	minStuckAfter = 900 * time.Millisecond
+	// maxStuckAfter is enough for tasks of up to four minutes. stuckAtStartAfter is the bound
+	// for runs that have not shown any progress yet.
+	maxStuckAfter     = 2500 * time.Millisecond
+	stuckAtStartAfter = 1500 * time.Millisecond
 )
 
-// progress notices runs that stand still though nobody slows them down. It is
-// pure.
+// progress detects runs that make no progress though they are not slowed down. It reads no
+// clock: the time is passed in.
 type progress struct {
 	mu   sync.Mutex
 	seen map[runKey]mark
 }
 
-// mark is when a run last showed progress.
+// mark is the last observed progress of a run.
 type mark struct {
 	percent    int
 	checkpoint string
-	at         time.Time // when it last showed progress
-	first      time.Time // when it was first seen
-	begun      int       // percent then
+	at         time.Time // last progress
+	first      time.Time // first reading
+	begun      int       // percent at the first reading
 }
 
-// patience is how long the run may show no progress.
-func (m *mark) patience() time.Duration {
+// stuckAfter returns how long the run may show no progress.
+func (m *mark) stuckAfter() time.Duration {
 	if m.percent <= m.begun {
-		return unbegun
+		return stuckAtStartAfter
 	}
 	each := m.at.Sub(m.first) / time.Duration(m.percent-m.begun)
-	return min(max(stuckTimes*each, leastStuck), mostStuck)
+	return min(max(stuckFactor*each, minStuckAfter), maxStuckAfter)
 }
 
 func newProgress() *progress { return &progress{seen: make(map[runKey]mark)} }
 
-// note takes in a reading. Runs that are slowed down, and those that are at work
-// in full and last, count as progressing.
-func (p *progress) note(now time.Time, running []RunningRun, slowed map[runKey]bool) {
+// record processes a reading. Slowed runs, and standing runs that are at work, count as
+// progressing.
+func (p *progress) record(now time.Time, running []RunningRun, slowed map[runKey]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := make(map[runKey]mark, len(running))
@@ -67,13 +67,13 @@
 	p.seen = kept
 }
 
-// stuck returns the runs without progress for long.
+// stuck returns the runs without progress for too long.
 func (p *progress) stuck(now time.Time) []jobs.Stop {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []jobs.Stop
 	for key, m := range p.seen {
-		if now.Sub(m.at) >= m.patience() {
+		if now.Sub(m.at) >= m.stuckAfter() {
 			out = append(out, jobs.Stop{Task: key.task, Run: key.run})
 		}
 	}
--- a/runner/progress_test.go
+++ b/runner/progress_test.go
@@ -7,16 +7,16 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// Tasks on a worker stand still though nobody slows them down, and their jobs wait
-// for them for ever. They must be noticed; runs that are slowed on purpose, those
-// that last and are at work, and those that do progress must not be.
+// Guards against jobs that wait forever for tasks that have stopped progressing. These must be
+// detected; runs that are slowed on purpose, standing runs at work, and progressing runs must
+// not be.
 func TestOnlyRunsWithoutProgressAreStuck(t *testing.T) {
 	p, now := newProgress(), time.Unix(0, 0)
 	ref := func(id string) jobs.Ref { return jobs.Ref{Job: id} }
 	slowed := map[runKey]bool{{ref("slowed"), 1}: true}
 	for i := range 16 {
-		now = now.Add(unbegun / 8)
-		p.note(now, []RunningRun{
+		now = now.Add(stuckAtStartAfter / 8)
+		p.record(now, []RunningRun{
 			{Task: ref("stuck"), Run: 1, Percent: 40},
 			{Task: ref("working"), Run: 1, Percent: 40 + i},
 			{Task: ref("saving"), Run: 1, Percent: 40, Checkpoint: string(rune('a' + i))},
@@ -32,25 +32,25 @@
 	}
 }
 
-// A look-up of half a second stops in the middle. Its caller can't wait for as long as
-// a render's could: what it showed so far tells how soon it should have gone on.
+// Guards against a short task, a look-up of half a second, that is given as much time to
+// recover as a render. The pace of its earlier progress determines when it counts as stuck.
 func TestQuickRunsAreStuckSooner(t *testing.T) {
 	p, now := newProgress(), time.Unix(0, 0)
 	ref := func(id string) jobs.Ref { return jobs.Ref{Job: id} }
 	read := func(quick, slow int) {
-		p.note(now, []RunningRun{{Task: ref("quick"), Run: 1, Percent: quick}, {Task: ref("slow"), Run: 1, Percent: slow}}, nil)
+		p.record(now, []RunningRun{{Task: ref("quick"), Run: 1, Percent: quick}, {Task: ref("slow"), Run: 1, Percent: slow}}, nil)
 	}
 	read(0, 0)
 	now = now.Add(2 * time.Second)
 	read(80, 1)
-	now = now.Add(leastStuck)
+	now = now.Add(minStuckAfter)
 	read(80, 1)
 	if stuck := p.stuck(now); len(stuck) != 1 || stuck[0].Task != ref("quick") {
-		t.Errorf("after %v stuck are %v", leastStuck, stuck)
+		t.Errorf("after %v stuck are %v", minStuckAfter, stuck)
 	}
-	now = now.Add(mostStuck)
+	now = now.Add(maxStuckAfter)
 	read(80, 1)
 	if stuck := p.stuck(now); len(stuck) != 2 {
-		t.Errorf("after %v stuck are %v", leastStuck+mostStuck, stuck)
+		t.Errorf("after %v stuck are %v", minStuckAfter+maxStuckAfter, stuck)
 	}
 }
--- a/runner/register.go
+++ b/runner/register.go
@@ -8,7 +8,8 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// register commits the worker, with the token that it has seen.
+// register commits the worker's registration with the token that it has seen. It retries until
+// it succeeds, and returns false if the session ends.
 func (s *session) register() bool {
 	for s.ctx.Err() == nil {
 		err := s.sendRegistration()
@@ -20,8 +21,8 @@
 			return false
 		case codeOf(err) == refusal.NotRegistered:
 			s.r.tokens.spend(s.token.Load())
-			s.disowned.Store(true)
-			s.end("a later session has registered, or this one's worker was lost")
+			s.deregistered.Store(true)
+			s.end("a later session has registered, or the control has lost this one's worker")
 			return false
 		}
 		refusal.CountRetry(part, codeOf(err))
@@ -33,51 +34,54 @@
 func (s *session) sendRegistration() error {
 	a := s.announced()
 	w := control.Registration{Crash: s.r.crash, Update: s.registered.Load() != 0, Worker: jobs.Worker{ID: a.Worker, Agent: s.r.agent, Service: a.Service, DataCentre: a.DataCentre,
-		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Life: s.life, Draining: a.Draining,
-		LentLate: !a.OwnID && !s.r.outlasted(a.Worker, time.Now())}}
+		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Life: s.id, Draining: a.Draining,
+		LentLate: !a.OwnID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
 	var done control.Registered
 	if err := s.r.ctl.Call(control.PathRegister, controlTimeout, &w, &done); err != nil {
 		return err
 	}
 	s.registered.Store(done.Index)
-	s.r.crash, s.r.registered = nil, a.Worker // only one registration is under way at a time
+	s.r.crash, s.r.registered = nil, a.Worker // registrations of a session don't overlap
 	if done.LentMS > 0 {
-		s.outlast(time.Duration(done.LentMS) * time.Millisecond)
+		s.awaitLateLease(time.Duration(done.LentMS) * time.Millisecond)
 	}
 	return nil
 }
 
-// lent is until when calls for the start before may have lent an incarnation a lease: it was
-// fenced before the time began, so none comes any more.
-type lent struct {
+// lateLease records until when an incarnation may hold a lease that calls for its previous
+// start extended. It was fenced before that period began, so no such call takes effect any
+// more.
+type lateLease struct {
 	worker string
 	until  time.Time
 }
 
-// outlasted reports whether no lease is left that a call for the start before has lent.
-func (r *Runner) outlasted(worker string, now time.Time) bool {
+// lateLeaseExpired reports whether a lease that a call for the previous start extended has
+// certainly expired.
+func (r *Runner) lateLeaseExpired(worker string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lent.worker == worker && now.After(r.lent.until)
+	return r.lateLease.worker == worker && now.After(r.lateLease.until)
 }
 
-// outlast tells the control once a lease has passed that calls for the start before may have lent.
-// Steady clocks that stand still while a process is suspended only make that later.
-func (s *session) outlast(term time.Duration) {
+// awaitLateLease registers the worker again once a lease that calls for the previous start may
+// have extended has expired. A monotonic clock that stops while the process is suspended only
+// delays this.
+func (s *session) awaitLateLease(term time.Duration) {
 	r, now := s.r, time.Now()
 	r.mu.Lock()
-	if r.lent.worker != s.worker {
-		r.lent = lent{s.worker, now.Add(term)}
+	if r.lateLease.worker != s.worker {
+		r.lateLease = lateLease{s.worker, now.Add(term)}
 	}
-	left := r.lent.until.Sub(now)
+	left := r.lateLease.until.Sub(now)
 	r.mu.Unlock()
-	if s.outlasting {
+	if s.awaitingLateLease {
 		return
 	}
-	s.outlasting = true
+	s.awaitingLateLease = true
 	go func() {
 		s.sleep(left + time.Millisecond)
-		s.changed()
+		s.requestUpdate()
 	}()
 }
 
@@ -88,15 +92,15 @@
 	return s.ann
 }
 
-// unknownService ends the session if the control refused since nobody knows the worker's
-// service. The worker's next heartbeat begins anew: the service may be added in between,
-// and a name that nobody knows costs no more than that.
+// unknownService ends the session if the control refused because no configuration names the
+// worker's service. The worker's next heartbeat starts a new session: the service may be added
+// in between, and a name that stays unknown costs no more than these attempts.
 func (s *session) unknownService(err error) bool {
 	if codeOf(err) != refusal.UnknownService {
 		return false
 	}
 	refusal.Count(part, refusal.UnknownService)
-	s.gone.Store(true)
+	s.final.Store(true)
 	s.end("no configuration names the worker's service")
 	return true
 }
--- a/runner/remote.go
+++ b/runner/remote.go
@@ -10,8 +10,8 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// Paths of a worker's interface for callers' tasks. Bodies are JSON: the calls and
-// replies of Worker.
+// Paths of a worker's interface for callers' tasks. The bodies are JSON: the calls and replies
+// of Worker.
 const (
 	PathStart = "/runs/start"
 	PathStop  = "/runs/stop"
@@ -20,18 +20,18 @@
 )
 
 const (
-	// CallTimeout bounds a call to the worker on the same instance, whose answer
-	// takes a few milliseconds. One that takes longer was lost.
+	// CallTimeout bounds a call to the worker, which runs on the same instance and answers
+	// within a few milliseconds. An answer that takes longer is lost.
 	CallTimeout = 500 * time.Millisecond
-	// CallConns bounds the connections to it: its calls may take half a second
-	// each when answers are lost.
+	// CallConns bounds the connections to the worker. Each call may take half a second when
+	// answers are lost.
 	CallConns = 32
 )
 
-// Remote is a worker behind its HTTP interface.
+// Remote is a client of a worker's HTTP interface. It implements Worker.
 type Remote struct{ host *fasthttp.HostClient }
 
-// NewRemote returns a client of the worker at addr.
+// NewRemote returns a client of the worker at addr; from names the calling process.
 func NewRemote(addr, from string) *Remote {
 	return &Remote{transport.NewJSONHost(addr, from, CallConns)}
 }
@@ -70,7 +70,7 @@
 // ErrNoPath is returned by Serve for a path that is not part of the interface.
 var ErrNoPath = errors.New("no such path")
 
-// Serve answers a call to a worker.
+// Serve handles an HTTP call to a worker.
 func Serve(w Worker, q *fasthttp.RequestCtx) error {
 	switch string(q.Path()) {
 	case PathStart:
--- a/runner/restart_test.go
+++ b/runner/restart_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Guards against a worker whose lease outlives the control's book: lists of the session before,
-// sent while the worker started again, are carried out late by its next start, whose clock is
-// far behind the one that their lease was reckoned on.
+// Guards against a worker whose lease outlives the control's entry. The previous session's
+// lists, sent while the worker restarted, are carried out late by its successor, whose clock
+// is far behind the one that their lease end refers to.
 func TestListsLostAtARestartLendTheNextStartNothing(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Minute)
-		b.ctl.setNoTokens(true) // the next session has only the one in reserve
-		b.worker.fall(ErrClosed)
+		b.ctl.setNoTokens(true) // the next session has only the reserve token
+		b.worker.failCalls(ErrClosed)
 		time.Sleep(time.Second)
 		b.worker.restart("w2")
 		b.seq = 0
@@ -22,30 +22,31 @@
 			t.Fatalf("the control knows %q", b.ctl.known())
 		}
 		if b.worker.carryOutLostHolds() == 0 {
-			t.Fatal("no list went unanswered: nothing is shown")
+			t.Fatal("the test needs an unanswered list")
 		}
 		if lent := time.Duration(b.ctl.termMS) * time.Millisecond; b.worker.lease() > lent {
-			t.Errorf("the lease goes on for %v, the control lent %v", b.worker.lease(), lent)
+			t.Errorf("the lease lasts for another %v, the control granted %v", b.worker.lease(), lent)
 		}
 		b.ctl.setNoTokens(false)
 	})
 }
 
-// Guards against the same by a session that went on to its token in reserve and found its worker
-// still there: the lists that follow extend the lease, so the token is no reserve any more.
+// Guards against the same fault in a session that switched to its reserve token and found its
+// worker still there: the lists that follow extend the lease, so the token can no longer serve
+// as the reserve.
 func TestListThatExtendsALeaseSpendsItsToken(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(2 * time.Second)
 		b.ctl.setNoTokens(true)
-		b.worker.fall(errLost)
+		b.worker.failCalls(errLost)
 		time.Sleep(3 * time.Second)
-		if !b.session().steppedUp.Load() {
-			t.Fatal("the session hasn't gone on to its token in reserve: nothing is shown")
+		if !b.session().onReserveToken.Load() {
+			t.Fatal("the test needs the session to switch to its reserve token")
 		}
-		b.worker.fall(nil)
+		b.worker.failCalls(nil)
 		time.Sleep(2 * time.Second)
-		if token := b.runner.tokens.next(); token != 0 {
-			t.Errorf("token %d is in reserve, and lists that extend the lease were sent with it", token)
+		if token := b.runner.tokens.reserved(); token != 0 {
+			t.Errorf("token %d is still in reserve after lists that extend the lease were sent with it", token)
 		}
 		b.ctl.setNoTokens(false)
 	})
--- a/runner/run.go
+++ b/runner/run.go
@@ -18,23 +18,23 @@
 
 	mu      sync.Mutex
 	ord     jobs.Order
-	ordered bool // an order was received; else the worker listed it first
+	ordered bool // an order was received; otherwise the worker listed the run first
 	started bool // the worker has it, or had it
 	ended   bool // the worker listed its end
 	stop    bool
-	held    resource.Vector // what it takes of the worker's room
-	claimed bool            // its room is taken: it was, or is to be, started here
-	stray   bool            // nobody told what it takes of the room, see strays.go
-	// unsure is set once a start went unanswered: it may still take effect.
-	unsure bool
-	since  time.Time // when the order came
-	// waited and decided are how long the task had waited then and how long before the run was
-	// decided on, 0 for not known.
+	held    resource.Vector // the worker's capacity that it occupies
+	claimed bool            // its capacity is occupied: it was, or is to be, started here
+	orphan  bool            // the control does not know it here, so held is unknown; see orphans.go
+	// uncertain is set once a start went unanswered: it may still take effect.
+	uncertain bool
+	orderedAt time.Time // when the first order arrived
+	// waited is how long the task had waited at orderedAt, and decided how long before that
+	// the run was decided on. Both are 0 if not known.
 	waited, decided time.Duration
-	sent            time.Time // when this life first asked for its start, zero if it did not
-	began           time.Time // when this life started it, zero if an earlier one did
+	sentAt          time.Time // when this session first requested its start, zero if it did not
+	startedAt       time.Time // when this session started it, zero if an earlier one did
 	slowed          bool
-	pause           time.Duration // before the next call, after one that failed
+	pause           time.Duration // before the next call, after a failed one
 }
 
 func (r *run) signal() {
@@ -44,14 +44,14 @@
 	}
 }
 
-// order takes in a new or changed order.
-func (r *run) order(o jobs.Order) {
+// setOrder applies a new or changed order.
+func (r *run) setOrder(o jobs.Order) {
 	r.mu.Lock()
 	if !o.Stop {
 		r.ord = o
 	}
 	if !r.ordered {
-		r.since = time.Now()
+		r.orderedAt = time.Now()
 		r.waited, r.decided = r.s.elapsed(o.SinceMS), r.s.elapsed(o.AtMS)
 	}
 	r.ordered = true
@@ -61,8 +61,8 @@
 	r.signal()
 }
 
-// stopNow has the run stopped without an order of the control: decide acts as on one. What it
-// holds of the worker's room stays held.
+// stopNow stops the run without an order of the control; decide treats it like one. The run's
+// capacity stays occupied.
 func (r *run) stopNow() {
 	r.mu.Lock()
 	r.ordered, r.stop = true, true
@@ -96,15 +96,15 @@
 	r.signal()
 }
 
-// workMS returns how long the run was at work at full pace from its beginning to
-// now, 0 if it resumed, was slowed down, or this life did not start it.
+// workMS returns how long the run has been working at full pace since its start, 0 if it
+// resumed from a checkpoint, was slowed down, or was not started by this session.
 func (r *run) workMS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.began.IsZero() || r.slowed || r.ord.Checkpoint != "" {
+	if r.startedAt.IsZero() || r.slowed || r.ord.Checkpoint != "" {
 		return 0
 	}
-	return time.Since(r.began).Milliseconds()
+	return time.Since(r.startedAt).Milliseconds()
 }
 
 func (r *run) setSlowed() {
@@ -119,115 +119,115 @@
 	return r.ord
 }
 
-// noteSent takes in that the worker is asked for the start now, and returns the order.
-func (r *run) noteSent(now time.Time) jobs.Order {
+// markSent records that the start is requested now, and returns the order.
+func (r *run) markSent(now time.Time) jobs.Order {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.sent.IsZero() {
-		r.sent = now
+	if r.sentAt.IsZero() {
+		r.sentAt = now
 	}
 	return r.ord
 }
 
-// move is the step that a run's goroutine takes.
-type move uint8
+// action is the next step of a run's goroutine.
+type action uint8
 
 const (
-	moveWait   move = iota
-	moveStart       // ask the worker to start it
-	moveSettle      // ask for its stop
-	moveDrop        // certainly never started: say so
-	moveFinish      // nothing is left to do
+	actionWait   action = iota
+	actionStart         // request the start from the worker
+	actionStop          // request the stop
+	actionReject        // certainly never started: report that
+	actionFinish        // nothing is left to do
 )
 
-// decide is the run's pure decision.
-func (r *run) decide() move {
-	// The session's lock is taken before a run's, never while it is held.
+// decide returns the next action. It makes no calls.
+func (r *run) decide() action {
+	// The lock of the session is taken before that of a run, never while it is held.
 	closed := r.s.closed()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.ended:
-		return moveFinish
+		return actionFinish
 	case !r.ordered:
-		return moveWait
-	case r.stop && !r.started && !r.unsure:
-		return moveDrop
+		return actionWait
+	case r.stop && !r.started && !r.uncertain:
+		return actionReject
 	case r.stop:
-		return moveSettle
+		return actionStop
 	case r.started:
-		return moveWait
-	case closed && r.unsure:
-		return moveSettle
+		return actionWait
+	case closed && r.uncertain:
+		return actionStop
 	case closed:
-		return moveDrop
+		return actionReject
 	}
-	return moveStart
+	return actionStart
 }
 
 func (r *run) drive() {
 	for r.s.ctx.Err() == nil {
 		switch r.decide() {
-		case moveFinish:
+		case actionFinish:
 			return
-		case moveWait:
+		case actionWait:
 			select {
 			case <-r.wake:
 			case <-r.s.ctx.Done():
 			}
-		case moveStart:
+		case actionStart:
 			r.start()
-		case moveSettle:
-			if r.settle() {
+		case actionStop:
+			if r.sendStop() {
 				return
 			}
-		case moveDrop:
-			r.drop("stopped before it started")
+		case actionReject:
+			r.reportNeverStarted("stopped before it started")
 			return
 		}
 	}
 }
 
-// start asks the worker once.
+// start requests the start from the worker once.
 func (r *run) start() {
 	s := r.s
 	s.mu.Lock()
 	end, extended := s.leaseEnd, s.lease
 	s.mu.Unlock()
 	if end == 0 || !s.mayStart() {
-		r.await(extended)
+		r.awaitLease(extended)
 		return
 	}
-	to := s.target() // before the next line: with the token in reserve it is seen there
-	if s.steppedUp.Load() {
-		r.rest()
+	to := s.target() // must precede the next line, which detects a switch to the reserve token
+	if s.onReserveToken.Load() {
+		r.backOff()
 		return
 	}
-	if s.hasStrays() || !s.canFence(to.Token) {
-		r.await(extended)
+	if s.hasOrphans() || !s.canFence(to.Token) {
+		r.awaitLease(extended)
 		return
 	}
 	if !s.claim(r) {
-		logrus.WithFields(logrus.Fields{"task": r.key.task.String(), "run": r.key.run}).Info("runner: A run doesn't fit what the worker has by its last word.")
+		logrus.WithFields(logrus.Fields{"task": r.key.task.String(), "run": r.key.run}).Info("runner: A run does not fit the worker's last announced capacity.")
 		countVerdict("room", VerdictNoRoom)
-		r.rejected(VerdictNoRoom)
+		r.handleRejection(VerdictNoRoom)
 		return
 	}
-	o := r.noteSent(time.Now())
+	o := r.markSent(time.Now())
 	s.r.tokens.spend(to.Token)
-	s.r.noteStarted(to.Token)
+	s.r.recordStartToken(to.Token)
 	reply, err := s.r.worker.Start(StartCall{Target: to, Task: o.Task, Run: o.Run, Payload: o.Payload, Checkpoint: o.Checkpoint, Ticket: o.Ticket, LeaseEndMS: end})
 	if errors.Is(err, ErrNotSent) {
-		r.rest()
+		r.backOff()
 		return
 	}
 	if err != nil {
 		uncertainTotal.Inc()
 		r.mu.Lock()
-		r.unsure = true
+		r.uncertain = true
 		r.mu.Unlock()
 		logrus.WithFields(logrus.Fields{"task": o.Task.String(), "run": o.Run}).Warnf("runner: A start went unanswered: %v.", err)
-		r.rest()
+		r.backOff()
 		return
 	}
 	r.pause = 0
@@ -235,50 +235,50 @@
 	switch reply.Verdict {
 	case VerdictDone:
 		startsTotal.Inc()
-		waited := r.measure(o)
+		waited := r.recordStartLatency(o)
 		logrus.WithFields(logrus.Fields{"task": o.Task.String(), "run": o.Run, "lease_end": end, "waited_ms": waited.Milliseconds(), "after_step": o.AfterStep,
-			"decided_ms": r.decided.Milliseconds(), "asked_ms": time.Since(r.since).Milliseconds()}).Info("runner: Started a run.")
+			"decided_ms": r.decided.Milliseconds(), "asked_ms": time.Since(r.orderedAt).Milliseconds()}).Info("runner: Started a run.")
 		r.mu.Lock()
-		r.began = time.Now()
+		r.startedAt = time.Now()
 		r.mu.Unlock()
 		r.setStarted()
 		if o.Fills {
 			s.setPaces(s.pacer.begin(time.Now(), r.key, o))
 		}
 	case VerdictLate:
-		// The lease in the call has ended on the worker's clock: nothing
-		// starts until it is extended.
-		r.await(extended)
+		// The lease in the call has expired by the worker's clock: nothing starts until it is
+		// extended.
+		r.awaitLease(extended)
 	case VerdictFenced, VerdictElsewhere:
-		if !s.refused(reply.Verdict, to) {
-			r.rest()
+		if !s.handleRefusal(reply.Verdict, to) {
+			r.backOff()
 		}
 	default:
-		r.rejected(reply.Verdict)
+		r.handleRejection(reply.Verdict)
 	}
 }
 
-// longestPause bounds the time between two tries of a call. A worker that resets what it is
-// asked does so for seconds, each try costs it a connection, and no other run is placed there
+// maxBackoff bounds the time between two attempts of a call. A worker that resets calls does
+// so for seconds, each attempt costs it a connection, and no other run is placed there
 // meanwhile.
-const longestPause = 8 * callPause
+const maxBackoff = 8 * callPause
 
-// rest lets some time pass after a call that failed, twice as much each time. Only the run's
-// own goroutine uses it.
-func (r *run) rest() {
-	r.pause = min(max(2*r.pause, callPause), longestPause)
+// backOff waits after a failed call, twice as long each time. Only the run's own goroutine
+// uses it.
+func (r *run) backOff() {
+	r.pause = min(max(2*r.pause, callPause), maxBackoff)
 	r.s.sleep(r.pause)
 }
 
-// measure enters a start into the histograms and returns how long its task has waited
-// for it: from the call that handed its job in, or from the end of the step before, 0 if
-// that is not known.
-func (r *run) measure(o jobs.Order) time.Duration {
-	startSeconds.UpdateDuration(r.since)
+// recordStartLatency records a start in the histograms and returns how long its task has
+// waited for it: since the call that submitted its job, or since the end of the previous step,
+// 0 if that is not known.
+func (r *run) recordStartLatency(o jobs.Order) time.Duration {
+	startSeconds.UpdateDuration(r.orderedAt)
 	if r.waited <= 0 {
 		return 0
 	}
-	waited := r.waited + time.Since(r.since)
+	waited := r.waited + time.Since(r.orderedAt)
 	h := submitSeconds
 	if o.AfterStep {
 		h = stepSeconds
@@ -287,9 +287,8 @@
 	return waited
 }
 
-// await waits until the lease is extended, the order changes or the session
-// ends.
-func (r *run) await(extended chan struct{}) {
+// awaitLease waits until the lease is extended, the order changes or the session ends.
+func (r *run) awaitLease(extended chan struct{}) {
 	select {
 	case <-extended:
 	case <-r.wake:
@@ -297,36 +296,35 @@
 	}
 }
 
-// rejected reacts to a verdict that the worker does not start the run. After an
-// unanswered start that verdict is about the repetition only: the first may yet
-// take effect, so the run is stopped before it is given back.
-func (r *run) rejected(v Verdict) {
+// handleRejection handles a verdict that the worker does not start the run. After an
+// unanswered start the verdict concerns only the repetition: the first start may yet take
+// effect, so the run is stopped before it is reported as never started.
+func (r *run) handleRejection(v Verdict) {
 	r.mu.Lock()
-	unsure := r.unsure
+	unsure := r.uncertain
 	r.stop = true
 	r.mu.Unlock()
 	if !unsure {
-		r.drop(v.String())
+		r.reportNeverStarted(v.String())
 		r.setEnded()
 	}
 }
 
-// settle stops the run, and reports whether nothing is left to do. Once the stop
-// is answered the run can't start any more; whether it had been started shows
-// in what the worker lists afterwards.
-func (r *run) settle() bool {
+// sendStop stops the run, and reports whether nothing is left to do. Once the stop is answered
+// the run can't start any more; whether it had started shows in the worker's next lists.
+func (r *run) sendStop() bool {
 	s := r.s
 	to := s.target()
 	reply, err := s.r.worker.Stop(StopCall{Target: to, Task: r.key.task, Run: r.key.run})
 	if err != nil {
 		uncertainTotal.Inc()
-		r.rest()
+		r.backOff()
 		return false
 	}
 	r.pause = 0
 	countVerdict("stop", reply.Verdict)
 	if reply.Verdict != VerdictDone {
-		if s.refused(reply.Verdict, to) {
+		if s.handleRefusal(reply.Verdict, to) {
 			return true
 		}
 		s.sleep(callPause)
@@ -337,35 +335,35 @@
 	started := r.started
 	r.mu.Unlock()
 	if started {
-		return true // the worker lists its end
+		return true // the worker will list its end
 	}
-	return r.resolve()
+	return r.resolveUncertainStart()
 }
 
-// resolve tells, after an answered stop, whether an unanswered start had taken
-// effect.
-func (r *run) resolve() bool {
+// resolveUncertainStart determines, after an answered stop, whether an unanswered start had
+// taken effect. It always returns true: nothing is left to do.
+func (r *run) resolveUncertainStart() bool {
 	s := r.s
 	for s.ctx.Err() == nil {
 		to := s.target()
 		reply, err := s.r.worker.Hold(HoldCall{Target: to})
 		if err != nil || reply.Verdict != VerdictDone {
-			if err == nil && s.refused(reply.Verdict, to) {
+			if err == nil && s.handleRefusal(reply.Verdict, to) {
 				return true
 			}
 			s.sleep(callPause)
 			continue
 		}
 		if !r.listed(reply) {
-			r.drop("stopped after an unanswered start")
+			r.reportNeverStarted("stopped after an unanswered start")
 		}
 		return true
 	}
 	return true
 }
 
-// lists reports whether a worker's list has a run, at work or ended.
-func lists(reply HoldReply, key runKey) bool {
+// listsRun reports whether a worker's list contains a run, running or ended.
+func listsRun(reply HoldReply, key runKey) bool {
 	for _, x := range reply.Running {
 		if x.Task == key.task && x.Run == key.run {
 			return true
@@ -380,7 +378,7 @@
 }
 
 func (r *run) listed(reply HoldReply) bool {
-	if lists(reply, r.key) {
+	if listsRun(reply, r.key) {
 		return true
 	}
 	r.s.mu.Lock()
@@ -388,13 +386,13 @@
 	return r.s.ended[r.key]
 }
 
-// drop reports that the run certainly never started.
-func (r *run) drop(reason string) {
+// reportNeverStarted reports to the control that the run certainly never started.
+func (r *run) reportNeverStarted(reason string) {
 	s := r.s
 	s.mu.Lock()
 	delete(s.runs, r.key)
 	s.markEnded(r.key)
 	s.mu.Unlock()
 	logrus.WithFields(logrus.Fields{"task": r.key.task.String(), "run": r.key.run, "reason": reason}).Info("runner: A run never started.")
-	s.send(report{end: jobs.End{Task: r.key.task, Run: r.key.run, Outcome: jobs.OutcomeRejected}, at: time.Now()})
+	s.send(endReport{end: jobs.End{Task: r.key.task, Run: r.key.run, Outcome: jobs.OutcomeRejected}, at: time.Now()})
 }
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -14,10 +14,10 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// part prefixes this part's log lines and labels its counters.
+// part is the prefix of this package's log lines and the part label of its counters.
 const part = "runner"
 
-// Control is what the runner asks of the control replicas. control.Client
+// Control is the interface to the control replicas that the runner uses. control.Client
 // implements it.
 type Control interface {
 	Call(path string, timeout time.Duration, req, resp any) error
@@ -26,63 +26,63 @@
 	Prefer(addresses []string)
 }
 
-// Runner serves one worker after the other, as they announce themselves.
+// Runner serves one incarnation of the worker after the other, as they announce themselves.
 type Runner struct {
 	agent  string // the instance's name
 	ctl    Control
-	worker Worker // whose answers contact notes
-	// contact tells whether the incarnation that is served is still there.
-	contact *contact
-	// startWord is how old the control's word that the data centre is in service may be
-	// for a run to be started by it.
-	startWord time.Duration
-	// without are the mechanisms of the policy that are left out.
+	worker Worker // records its answers in liveness
+	// liveness tracks whether the incarnation that is served still exists.
+	liveness *liveness
+	// maxConfirmationAge is the greatest age of the control's confirmation that the data
+	// centre is in service at which a run may be started.
+	maxConfirmationAge time.Duration
+	// without lists the mechanisms of the policy that are disabled.
 	without ablation.Set
 
-	// left is what the last incarnation that was reached left, and crash its crash until
-	// that is committed with the next one's registration; registered is the last one that
-	// was. Only Run and its session use them.
-	left       remains
+	// lastState is the state of the last incarnation that was reached, and crash its crash
+	// until that is committed with the next registration. registered is the incarnation
+	// registered last. Only Run and its session use them.
+	lastState  sessionState
 	crash      *jobs.Crash
 	registered string
-	lent       lent // guarded by mu
-	// disowned says that the control didn't know the last session any more.
-	disowned bool
-
-	tokens  tokens
-	started atomic.Uint64 // highest token that a start was sent with
-
-	mu      sync.Mutex
-	newest  *Announcement // of the incarnation that is served or to be served
-	doubted *Announcement // the last one that contradicted newest
-	session *session
-	guards  []*session    // whose guards may still be at work
-	changed chan struct{} // signalled when newest changes
+	lateLease  lateLease // guarded by mu
+	// deregistered says that the control no longer knew the last session.
+	deregistered bool
+
+	tokens        tokens
+	maxStartToken atomic.Uint64 // highest token that a start was sent with
+
+	mu            sync.Mutex
+	newest        *Announcement // of the incarnation that is, or is to be, served
+	contradicting *Announcement // the last announcement that contradicted newest
+	session       *session
+	guards        []*session    // whose guards may still be running
+	changed       chan struct{} // signalled when newest changes
 }
 
-// New returns a runner for the worker behind w. It starts nothing by a word of the control
-// that is older than startWord.
+// New returns a runner for the worker behind w. It starts nothing when the control's last
+// confirmation that the data centre is in service is older than maxConfirmationAge.
 func New(agent string, ctl Control, w Worker, startWord time.Duration) *Runner {
-	c := &contact{}
-	return &Runner{agent: agent, startWord: startWord, ctl: ctl, worker: observed{w, c}, contact: c, without: ablation.Linked(), changed: make(chan struct{}, 1)}
+	c := &liveness{}
+	return &Runner{agent: agent, maxConfirmationAge: startWord, ctl: ctl, worker: observedWorker{w, c}, liveness: c, without: ablation.Linked(), changed: make(chan struct{}, 1)}
 }
 
-// Left takes in a worker's word that it ends.
+// Left handles a worker's announcement that it is ending.
 func (r *Runner) Left(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.newest == nil || r.newest.Worker != worker {
 		return
 	}
-	logrus.WithField("worker", worker).Info("runner: The worker left.")
+	logrus.WithField("worker", worker).Info("runner: The worker announced that it is ending.")
 	r.newest.Draining = true
 	if r.session != nil {
 		r.session.leave()
 	}
 }
 
-// Newest returns the newest announcement of the worker that is served or is to be served,
-// an empty one for none.
+// Newest returns the newest announcement of the incarnation that is, or is to be, served, an
+// empty one if there is none.
 func (r *Runner) Newest() Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,26 +99,26 @@
 	}
 }
 
-// Run serves workers until the context ends. What runs then goes on under its
-// lease, for the agent's next life to take over.
+// Run serves workers until the context ends. Running tasks continue under their lease, for the
+// agent's next process to take over.
 func (r *Runner) Run(ctx context.Context) error {
 	for {
 		a := r.next(ctx)
 		if a == nil {
 			return nil
 		}
-		r.contact.follow(a.Worker)
+		r.liveness.track(a.Worker)
 		s := newSession(ctx, r, *a)
 		r.mu.Lock()
 		r.session = s
 		r.mu.Unlock()
-		r.setGuard(ctx, s)
+		r.startGuard(ctx, s)
 		again := s.run()
-		r.keep(s)
+		r.saveState(s)
 		r.mu.Lock()
 		r.session = nil
 		if !again && r.newest != nil && r.newest.Worker == a.Worker {
-			r.newest = nil // gone; the next one announces itself
+			r.newest = nil // a successor announces itself
 		}
 		r.mu.Unlock()
 		if ctx.Err() != nil {
@@ -132,11 +132,11 @@
 	}
 }
 
-// sessionPause keeps a session that ends at once from being begun anew without
-// a break.
+// sessionPause is the pause between sessions. It prevents a busy loop when sessions end
+// immediately.
 const sessionPause = 50 * time.Millisecond
 
-// next waits for an announced worker.
+// next waits for an announced worker. It returns nil when the context ends.
 func (r *Runner) next(ctx context.Context) *Announcement {
 	for {
 		r.mu.Lock()
@@ -153,20 +153,20 @@
 	}
 }
 
-// newLife returns a name for one session, which nothing else ever bears.
-func newLife() string {
+// newSessionID returns a random id for a session.
+func newSessionID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
 var (
-	startSeconds   = metrics.NewHistogram(`waxwinghaven_run_start_seconds`)
-	submitSeconds  = metrics.NewHistogram(`waxwinghaven_submit_to_start_seconds`)
-	stepSeconds    = metrics.NewHistogram(`waxwinghaven_step_end_to_start_seconds`)
-	endSeconds     = metrics.NewHistogram(`waxwinghaven_run_end_commit_seconds`)
-	startsTotal    = metrics.NewCounter(`waxwinghaven_runs_started_total`)
-	clockFalls     = metrics.NewCounter(`waxwinghaven_worker_clock_falls_total`)
-	endsMistaken   = metrics.NewCounter(`waxwinghaven_ends_mistaken_total`)
-	uncertainTotal = metrics.NewCounter(`waxwinghaven_calls_unanswered_total{part="runner"}`)
+	startSeconds       = metrics.NewHistogram(`waxwinghaven_run_start_seconds`)
+	submitSeconds      = metrics.NewHistogram(`waxwinghaven_submit_to_start_seconds`)
+	stepSeconds        = metrics.NewHistogram(`waxwinghaven_step_end_to_start_seconds`)
+	endSeconds         = metrics.NewHistogram(`waxwinghaven_run_end_commit_seconds`)
+	startsTotal        = metrics.NewCounter(`waxwinghaven_runs_started_total`)
+	clockRegressions   = metrics.NewCounter(`waxwinghaven_worker_clock_falls_total`)
+	endNumberConflicts = metrics.NewCounter(`waxwinghaven_ends_mistaken_total`)
+	uncertainTotal     = metrics.NewCounter(`waxwinghaven_calls_unanswered_total{part="runner"}`)
 )
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -12,8 +12,7 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// bench is a runner between a fake control and a fake worker, in a bubble of
-// virtual time.
+// bench connects a runner to a fake control and a fake worker, with synctest's virtual time.
 type bench struct {
 	t      *testing.T
 	ctl    *fakeControl
@@ -24,7 +23,7 @@
 	seq    uint64
 }
 
-func play(t *testing.T, f func(*testing.T, *bench)) {
+func withBench(t *testing.T, f func(*testing.T, *bench)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{t: t, ctl: newFakeControl(), worker: newFakeWorker("w1")}
 		b.begin()
@@ -34,12 +33,12 @@
 	})
 }
 
-// testStartWord is how old the control's word may be for a start.
-const testStartWord = 3500 * time.Millisecond
+// testConfirmationAge is the greatest age of a confirmation at which a run may start.
+const testConfirmationAge = 3500 * time.Millisecond
 
-// begin starts a life of the agent.
+// begin starts a process of the agent.
 func (b *bench) begin() {
-	b.runner = New("agent-1", b.ctl, b.worker, testStartWord)
+	b.runner = New("agent-1", b.ctl, b.worker, testConfirmationAge)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel, b.done = cancel, make(chan error, 1)
 	go func() { b.done <- b.runner.Run(ctx) }()
@@ -51,7 +50,7 @@
 	if err := <-b.done; err != nil {
 		b.t.Error(err)
 	}
-	time.Sleep(2 * controlTimeout) // calls under way end by themselves
+	time.Sleep(2 * controlTimeout) // calls in flight end by themselves
 }
 
 func (b *bench) session() *session {
@@ -91,7 +90,7 @@
 }
 
 func TestStartsReportsAndAcknowledges(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
 		if !b.worker.isRunning(runA1) {
@@ -104,22 +103,22 @@
 		time.Sleep(time.Second)
 		b.wantEnd(runA1, jobs.OutcomeDone)
 		if b.worker.acknowledged() != 1 {
-			t.Errorf("the worker may forget ends up to %d", b.worker.acknowledged())
+			t.Errorf("ends are acknowledged up to %d", b.worker.acknowledged())
 		}
 	})
 }
 
-// The leader is away when a run ends. The worker must go on listing the end until
-// it is committed: told to forget it before, the task would be run again.
+// Guards against an end that is acknowledged before its commit, while the leader is
+// unreachable: the worker would no longer list it, and the task would run again.
 func TestEndIsAcknowledgedOnlyAfterItsCommit(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
 		b.ctl.setDown(true)
 		b.worker.end(runA1, jobs.OutcomeDone)
 		time.Sleep(10 * time.Second)
 		if n := b.worker.acknowledged(); n != 0 {
-			t.Fatalf("the end was acknowledged up to %d while nobody had committed it", n)
+			t.Fatalf("ends were acknowledged up to %d before their commit", n)
 		}
 		b.ctl.setDown(false)
 		time.Sleep(5 * time.Second)
@@ -130,31 +129,31 @@
 	})
 }
 
-// A worker resets every start for seconds. Tried every 50 ms, each run there costs it 20
-// connections a second and as many log lines; tried less and less often it starts soon after
-// the worker is well again.
+// Guards against a worker that resets every start for seconds and gets 20 connections a
+// second, and as many log lines, from each run that is attempted every 50 ms. With increasing
+// pauses a run must still start soon after the worker has recovered.
 func TestStartsThatAreResetAreTriedLessOften(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.worker.fail(1<<20, VerdictDone)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(4 * time.Second)
 		if n := b.worker.tries(); n < 5 || n > 20 {
-			t.Errorf("it was tried %d times in four seconds", n)
+			t.Errorf("the start was attempted %d times in four seconds", n)
 		}
 		b.worker.fail(0, VerdictDone)
 		time.Sleep(500 * time.Millisecond)
 		if !b.worker.isRunning(runA1) {
-			t.Error("it does not start once the worker is well")
+			t.Error("the run does not start once the worker has recovered")
 		}
 	})
 }
 
-// A start goes unanswered, and the repetition is rejected for want of room. The
-// first may take effect seconds later. Were the run given back now, the task
-// would be started elsewhere and run twice.
+// Guards against a task that runs twice: a start goes unanswered, its repetition is rejected
+// for lack of capacity, and the first start takes effect seconds later. The run must be
+// stopped before it is reported as never started.
 func TestUnansweredStartIsStoppedBeforeItIsGivenBack(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.fail(1, VerdictNoRoom)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
@@ -166,11 +165,11 @@
 	})
 }
 
-// Many calls hang at a worker that does not answer, and no connection is free for
-// the next start. That start never left, so it may be given back at once: stopping
-// it first would need the worker that does not answer.
+// Guards against a run that waits for the stop of a start that was never sent, since no
+// connection to the unresponsive worker was free. Such a run can be reported as never started
+// immediately.
 func TestStartThatNeverLeftNeedsNoStop(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.mu.Lock()
 		b.worker.notSent = 1 << 20
 		b.worker.mu.Unlock()
@@ -182,15 +181,15 @@
 		b.worker.mu.Lock()
 		defer b.worker.mu.Unlock()
 		if b.worker.fences[taskA] != 0 {
-			t.Error("a run that was never asked for was stopped")
+			t.Error("a run whose start was never sent was stopped")
 		}
 	})
 }
 
-// The same, but the unanswered start had taken effect before the stop: the worker
-// lists the run's end, and only that may be reported.
+// Guards against an unanswered start that is reported as rejected though it had taken effect
+// before the stop: the worker lists the run's end, and only that may be reported.
 func TestUnansweredStartThatTookEffectIsNotReportedAsRejected(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.fail(1, VerdictDone)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(10 * time.Millisecond)
@@ -203,10 +202,10 @@
 	})
 }
 
-// A job is cancelled before its run was ever sent to the worker: nothing may be
-// started, and the room is given back at once.
+// A run whose job is cancelled before its start was sent must not start, and must be reported
+// immediately, so that its capacity is free again.
 func TestStopBeforeStart(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(stopOf(runA1))
 		time.Sleep(time.Second)
 		b.wantEnd(runA1, jobs.OutcomeRejected)
@@ -216,11 +215,10 @@
 	})
 }
 
-// The agent is killed and started again. What its earlier life left under way
-// must not take effect any more, and what runs must go on, neither started again
-// nor lost.
-func TestNextLifeTakesOver(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+// The agent is killed and started again. Calls of its earlier process that are still in flight
+// must not take effect any more, and its runs must continue, neither started again nor lost.
+func TestNextSessionTakesOver(t *testing.T) {
+	withBench(t, func(t *testing.T, b *bench) {
 		runB1 := runKey{jobs.Ref{Job: "00000000000000bb"}, 1}
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
@@ -235,10 +233,10 @@
 		before := len(b.worker.started())
 		b.worker.carryOutLate()
 		if len(b.worker.started()) != before {
-			t.Error("an order of the earlier life took effect")
+			t.Error("a call of the earlier process took effect")
 		}
 		if !b.worker.isRunning(runA1) || !b.worker.isRunning(runB1) {
-			t.Error("the new life did not take the runs over")
+			t.Error("the new process did not take over the runs")
 		}
 		starts := 0
 		for _, s := range b.worker.started() {
@@ -247,16 +245,16 @@
 			}
 		}
 		if starts != 1 {
-			t.Errorf("a run that was at work was started %d times", starts)
+			t.Errorf("a running run was started %d times", starts)
 		}
 		b.wantNoEnd(runA1)
 	})
 }
 
-// The worker says that it leaves. From the answer on nothing may be started on
-// it, even if the control does not know yet.
+// Once a draining worker's announcement is answered, no run may be started on it, even if the
+// control does not know yet.
 func TestNothingStartsOnALeavingWorker(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.ctl.setDown(true)
 		time.Sleep(3 * time.Second)
@@ -267,16 +265,16 @@
 		b.ctl.give(startOf(runA1))
 		time.Sleep(5 * time.Second)
 		if len(b.worker.started()) > 0 {
-			t.Error("a run was started on a leaving worker")
+			t.Error("a run was started on a draining worker")
 		}
 		b.wantEnd(runA1, jobs.OutcomeRejected)
 	})
 }
 
-// A worker says that it ends, and ends. Its standing tasks are missed until the
-// control knows; waiting for the lease costs their users five seconds. One that takes
-// no connections but said nothing may only be cut off, and one whose connections come
-// to nothing may only be slow, and run on: the lease decides.
+// Guards against standing tasks that are missing until the lease of a worker that has ended
+// expires after five seconds. A worker that announced its end and refuses connections is
+// reported. One that refuses connections without an announcement may only be cut off, and one
+// whose connections fail otherwise may only be slow; both may still run, so the lease decides.
 func TestWorkerThatLeftIsReportedAtOnce(t *testing.T) {
 	reset := fmt.Errorf("%w: %w", ErrNotSent, ErrClosed)
 	refused := fmt.Errorf("%w: %w", ErrRefused, reset)
@@ -285,27 +283,27 @@
 		away error
 		want bool
 	}{{true, refused, true}, {false, refused, false}, {true, ErrNotSent, false}, {true, reset, false}} {
-		play(t, func(t *testing.T, b *bench) {
+		withBench(t, func(t *testing.T, b *bench) {
 			time.Sleep(time.Second)
 			if c.said {
 				b.runner.Left("w1")
 			}
 			b.worker.mu.Lock()
-			b.worker.away = c.away
+			b.worker.connectErr = c.away
 			b.worker.mu.Unlock()
 			time.Sleep(2 * time.Second)
 			if got := b.ctl.reportedGone(); (got > 0) != c.want {
-				t.Errorf("the worker said so: %v, connecting: %v; it was reported %d times", c.said, c.away, got)
+				t.Errorf("announced its end: %v, connecting: %v; reported %d times", c.said, c.away, got)
 			}
 		})
 	}
 }
 
-// The worker crashes and comes back as another incarnation. A heartbeat of the
-// old one, held up by a cut, comes after the new one's. Believing it would void
-// the new one's runs in the books while they go on.
+// Guards against a late heartbeat of a crashed incarnation, delayed by a network partition
+// until after the new one's. If it were accepted, the control would treat the new
+// incarnation's runs as void while they continue.
 func TestLateHeartbeatOfACrashedWorkerIsIgnored(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.worker.mu.Lock()
 		b.worker.id, b.worker.token = "w2", 0
@@ -328,10 +326,10 @@
 	})
 }
 
-// The control is away for longer than a lease. Nothing new may start on the old
-// lease: the control may have given the tasks to others by then.
+// Guards against starts under an expired lease while the control is unreachable: it may have
+// given the tasks to other workers by then.
 func TestNothingStartsAfterTheLease(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.worker.fail(1<<20, VerdictDone)
 		b.ctl.give(startOf(runA1))
@@ -347,14 +345,13 @@
 	})
 }
 
-// A worker is lost for good: it answers nothing and no other comes. When its lease has ended
-// the control forgets it, and the agent registers it again for another term, without an end:
-// each time the leader gives it tasks, which wait there for the whole term while their
-// callers do. One that doesn't answer is not registered.
+// Guards against a worker that is lost for good and registered again whenever its lease has
+// ended: each time the leader places tasks on it, which wait there for the whole lease term.
+// An unresponsive worker must not be registered.
 func TestSilentWorkerIsNotRegisteredAgain(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		b.worker.fall(errLost)
+		b.worker.failCalls(errLost)
 		time.Sleep(6 * time.Second)
 		before := b.ctl.registered()
 		for range 5 {
@@ -362,43 +359,43 @@
 			time.Sleep(6 * time.Second)
 		}
 		if n := b.ctl.registered() - before; n > 0 {
-			t.Fatalf("the silent worker was registered %d times more", n)
+			t.Fatalf("the unresponsive worker was registered %d more times", n)
 		}
-		b.worker.fall(nil)
+		b.worker.failCalls(nil)
 		time.Sleep(2 * time.Second)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
 		if !b.worker.isRunning(runA1) {
-			t.Error("the worker answers again and gets nothing")
+			t.Error("the worker answers again and no run is started on it")
 		}
 	})
 }
 
-// A worker has crashed and is back after some seconds. Until then nobody tells the leader,
-// which gives it a share of all tasks; they wait there while other workers have room. The
-// agent says so at once; a call that is merely late, or a connection that is reset, is none.
+// Guards against tasks that wait on a crashed worker, which the leader still counts on, while
+// other workers have free capacity. The agent must report the outage soon; a call that is
+// merely late, or a connection that is reset, is no outage.
 func TestSilentWorkerIsTold(t *testing.T) {
-	play(t, func(t *testing.T, b *bench) {
+	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		b.worker.fall(errLost)
+		b.worker.failCalls(errLost)
 		time.Sleep(time.Second)
-		b.worker.fall(nil)
+		b.worker.failCalls(nil)
 		time.Sleep(time.Second)
-		b.worker.fall(ErrClosed)
+		b.worker.failCalls(ErrClosed)
 		time.Sleep(callPause)
-		b.worker.fall(nil)
+		b.worker.failCalls(nil)
 		time.Sleep(time.Second)
-		if n := b.ctl.toldSilent(); n > 0 {
-			t.Fatalf("a worker that answers was told as silent %d times", n)
+		if n := b.ctl.silenceReports(); n > 0 {
+			t.Fatalf("a worker that answers was reported as unresponsive %d times", n)
 		}
-		b.worker.fall(ErrClosed)
+		b.worker.failCalls(ErrClosed)
 		time.Sleep(300 * time.Millisecond)
-		if b.ctl.toldSilent() == 0 {
-			t.Error("the control wasn't told within 0.3 s")
+		if b.ctl.silenceReports() == 0 {
+			t.Error("the outage wasn't reported within 0.3 s")
 		}
 		time.Sleep(2 * time.Second)
-		if n := b.ctl.toldSilent(); n < 3 || n > 6 {
-			t.Errorf("told %d times in 2.3 s", n)
+		if n := b.ctl.silenceReports(); n < 3 || n > 6 {
+			t.Errorf("reported %d times in 2.3 s", n)
 		}
 	})
 }
--- a/runner/tokens.go
+++ b/runner/tokens.go
@@ -2,30 +2,30 @@
 
 import "sync"
 
-// tokens are an agent's fencing tokens. One is kept in reserve, so that a worker can be made
-// to refuse what was sent before also while the control is away.
+// tokens holds an agent's fencing tokens. One is kept in reserve, so that a worker can be made
+// to refuse earlier calls even while the control is unreachable.
 type tokens struct {
 	mu      sync.Mutex
-	last    uint64 // of the session that began last
-	reserve uint64 // higher than all that were used, or the last one until it is spent; 0 for none
+	last    uint64 // of the newest session
+	reserve uint64 // higher than all used tokens, or equal to the last one until it is spent; 0 for none
 }
 
-// current returns the last session's token.
+// current returns the newest session's token.
 func (t *tokens) current() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.last
 }
 
-// next returns the token in reserve, 0 for none.
-func (t *tokens) next() uint64 {
+// reserved returns the reserve token, 0 for none.
+func (t *tokens) reserved() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.reserve
 }
 
-// use makes a token that of the last session.
-func (t *tokens) use(token uint64) {
+// setCurrent makes token that of the newest session.
+func (t *tokens) setCurrent(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.last = max(t.last, token)
@@ -34,8 +34,8 @@
 	}
 }
 
-// keep takes a new token in reserve.
-func (t *tokens) keep(token uint64) {
+// setReserve puts a new token in reserve.
+func (t *tokens) setReserve(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if token > t.last {
@@ -43,8 +43,8 @@
 	}
 }
 
-// spend takes in that a call is sent with a token which the next incarnation must not carry
-// out, so that this token can't fence it.
+// spend records that a call with this token is sent that the successor must not carry out. The
+// token can therefore not fence the successor.
 func (t *tokens) spend(token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- /dev/null
+++ b/runner/violations.go
@@ -0,0 +1,63 @@
+package runner
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// violation is a period in which the tails of a serving group exceeded their target.
+type violation struct {
+	group   servingGroup
+	began   time.Time
+	ended   time.Time // zero while it lasts
+	runs    int
+	tailMS  float64 // at the beginning
+	target  int64   // ms
+	own     float64 // estimated headroom of the group without filling work
+	culprit string  // the image at work that takes most headroom, "" for none
+}
+
+// updateViolations returns the violations that begin or end with a scan. They are logged, so
+// that an engineer can see how long users waited and which image was the likely cause.
+func (p *pacer) updateViolations(now time.Time, sc scan) []violation {
+	var out []violation
+	for _, g := range sc.groups() {
+		_, open := p.violations[g]
+		over := sc.serving[g].headroom() < 1
+		switch {
+		case over && !open:
+			s := violation{group: g, began: now, runs: len(sc.serving[g].tails), tailMS: sc.serving[g].tail(), target: sc.serving[g].targetMS,
+				own: p.trackers[g].Own(), culprit: p.findCulprit(g, sc)}
+			p.violations[g] = s
+			out = append(out, s)
+		case !over && open:
+			out = append(out, p.endViolation(now, g))
+		}
+	}
+	for g := range p.violations {
+		if _, there := sc.serving[g]; !there {
+			out = append(out, p.endViolation(now, g))
+		}
+	}
+	return out
+}
+
+func (p *pacer) endViolation(now time.Time, g servingGroup) violation {
+	s := p.violations[g]
+	s.ended = now
+	delete(p.violations, g)
+	return s
+}
+
+// findCulprit returns the image at work that takes most of a group's headroom, "" for none.
+func (p *pacer) findCulprit(g servingGroup, sc scan) string {
+	m := p.model(g)
+	most, image := 0.0, ""
+	for _, filling := range slices.Sorted(maps.Keys(sc.use)) {
+		if took := sc.use[filling] * m.pressure(filling); took > most {
+			most, image = took, filling
+		}
+	}
+	return image
+}
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -1,6 +1,6 @@
-// Package runner carries out the control's orders on the one worker beside an
-// agent: it starts and stops runs under a lease and a fencing token, reports
-// their ends, and slows filling runs down that disturb serving ones.
+// Package runner carries out the control's orders on the worker beside an agent: it starts and
+// stops runs under a lease and a fencing token, reports their ends, and slows down filling
+// runs that disturb serving ones.
 package runner
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// Worker is the interface of a worker that runs tasks. Each call names the
-// incarnation it is meant for. An error other than ErrNotSent means that the call
-// may have been carried out, or may still be, seconds later.
+// Worker is the interface of a worker that runs tasks. Each call names the incarnation it is
+// meant for. An error other than ErrNotSent means that the call may have been carried out, or
+// may still be, seconds later.
 type Worker interface {
 	Start(StartCall) (Reply, error)
 	Stop(StopCall) (Reply, error)
@@ -20,18 +20,19 @@
 	Pace(PaceCall) (Reply, error)
 }
 
-// ErrNotSent is the error of a call that certainly never left.
+// ErrNotSent is the error of a call that was certainly not sent.
 var ErrNotSent = transport.ErrNotSent
 
-// ErrClosed is the error of a call whose connection the worker's side ended: its process
-// is gone, or the connection was reset. A call may have both errors.
+// ErrClosed is the error of a call whose connection was closed by the worker's side: its
+// process has ended, or the connection was reset. A call may have both errors.
 var ErrClosed = transport.ErrClosed
 
-// ErrRefused is the error of a call to an address where nobody takes connections: no worker
-// stands there. Such a call has the other two errors as well.
+// ErrRefused is the error of a call to an address that refuses connections: no worker is
+// running there. Such a call has the other two errors as well.
 var ErrRefused = transport.ErrRefused
 
-// Target names whom a call is for and with which right it is made.
+// Target names the incarnation that a call is meant for and the fencing token that authorises
+// it.
 type Target struct {
 	Worker string `json:"worker"` // incarnation
 	Token  uint64 `json:"token"`  // fencing token
@@ -44,30 +45,30 @@
 	Run        uint32   `json:"run"`
 	Payload    string   `json:"payload,omitempty"`
 	Checkpoint string   `json:"checkpoint,omitempty"`
-	Ticket     string   `json:"ticket,omitempty"` // of the advisor, "" for none
-	// LeaseEndMS is the end of the worker's lease on its own clock. It holds
-	// for everything that runs there and never moves back.
+	Ticket     string   `json:"ticket,omitempty"` // the advisor's ticket, "" for none
+	// LeaseEndMS is the end of the worker's lease on the worker's own clock. It applies to
+	// everything that runs there and never moves back.
 	LeaseEndMS int64 `json:"lease_end_ms"`
 }
 
-// StopCall ends a run. Once it is answered, that run and lower ones of the task
-// never start any more on this incarnation.
+// StopCall ends a run. Once it is answered, this run and lower ones of the task can no longer
+// start on this incarnation.
 type StopCall struct {
 	Target
 	Task jobs.Ref `json:"task"`
 	Run  uint32   `json:"run"`
 }
 
-// HoldCall extends the lease, tells which ends may be forgotten, and waits up to
-// Wait for a new one.
+// HoldCall extends the lease, acknowledges ends up to Cursor, and waits up to Wait for a new
+// end.
 type HoldCall struct {
 	Target
-	LeaseEndMS int64         `json:"lease_end_ms,omitempty"` // 0 to extend nothing
+	LeaseEndMS int64         `json:"lease_end_ms,omitempty"` // 0 to leave the lease unchanged
 	Cursor     uint64        `json:"cursor"`
 	Wait       time.Duration `json:"wait_ns,omitempty"`
 }
 
-// PaceCall lets a run work at a part of its speed, 0 to 100.
+// PaceCall sets the speed of a run in percent, 0 to 100.
 type PaceCall struct {
 	Target
 	Task    jobs.Ref `json:"task"`
@@ -78,7 +79,7 @@
 // Verdict is a worker's answer to a call.
 type Verdict uint8
 
-// The verdicts. All but Done mean that the call did nothing.
+// The verdicts. All but VerdictDone mean that the call had no effect.
 const (
 	VerdictDone      Verdict = iota
 	VerdictFenced            // a higher token was seen
@@ -86,9 +87,9 @@
 	VerdictLate              // the lease in the call has ended
 	VerdictNoRoom            // it does not fit
 	VerdictNoTicket          // the advisor's ticket is missing or expired
-	VerdictInvalid           // it cannot be done
-	VerdictBusy              // the worker is not well
-	VerdictElsewhere         // another incarnation stands here
+	VerdictInvalid           // the call cannot be carried out
+	VerdictBusy              // the worker is overloaded or failing
+	VerdictElsewhere         // another incarnation is at this address
 )
 
 var verdictNames = [...]string{"done", "fenced", "old", "late", "no-room", "no-ticket", "invalid", "busy", "elsewhere"}
@@ -104,36 +105,35 @@
 // Reply answers a call.
 type Reply struct {
 	Verdict Verdict `json:"verdict"`
-	ClockMS int64   `json:"clock_ms"` // the worker's steady clock, 0 if it was not told
+	ClockMS int64   `json:"clock_ms"` // the worker's monotonic clock, 0 if not given
 }
 
-// HoldReply lists what runs and what ended.
+// HoldReply lists the runs that are running and those that have ended.
 type HoldReply struct {
 	Reply
 	Running  []RunningRun  `json:"running"`
 	Finished []FinishedRun `json:"finished"`
 }
 
-// RunningRun is one run at work.
+// RunningRun is a run that is running.
 type RunningRun struct {
 	Task jobs.Ref `json:"task"`
 	Run  uint32   `json:"run"`
-	// Checkpoint is the newest progress that is saved.
+	// Checkpoint is the newest saved progress.
 	Checkpoint string `json:"checkpoint,omitempty"`
-	// Percent is how much of its work is done, and 100 for a standing run that
-	// is at work.
+	// Percent is how much of its work is done, and 100 for a standing run that is at work.
 	Percent int `json:"percent"`
-	// Figure is the tail latency in ms of a serving run over the last half
-	// second, and the processors in use, in thousandths, of any other.
+	// Figure is the tail latency of a serving run over the last half second, in ms, and for
+	// any other run the processors in use, in thousandths.
 	Figure float64 `json:"figure"`
 }
 
-// FinishedRun is one end that was not forgotten yet.
+// FinishedRun is the end of a run that is not acknowledged yet.
 type FinishedRun struct {
-	Number     uint64       `json:"number"` // rises by one with each end on this incarnation
+	Number     uint64       `json:"number"` // increases by one with each end on this incarnation
 	Task       jobs.Ref     `json:"task"`
 	Run        uint32       `json:"run"`
 	Outcome    jobs.Outcome `json:"outcome"`
-	How        string       `json:"how"` // the worker's own word, for logs
+	How        string       `json:"how"` // the worker's own term, for logs
 	Checkpoint string       `json:"checkpoint,omitempty"`
 }
