--- a/admission/gate.go
+++ b/admission/gate.go
@@ -1,6 +1,5 @@
-// Package admission decides which requests an upstream is given, and when. The
-// Gate is a pure step machine: arrivals and ends go in with the time, and what
-// is admitted or refused comes out.
+// Package admission decides which requests are passed to an upstream, and when. Gate is a pure state
+// machine: it is given arrivals and ends with their times and returns what is admitted or refused.
 package admission
 
 import (
@@ -9,21 +8,21 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// Tuning of the gate.
+// Parameters of the gate.
 const (
-	// queuePerSlot bounds the queue: a longer one only makes answers late.
+	// queuePerSlot bounds the queue: a longer one only delays answers.
 	queuePerSlot = 2
 	minQueue     = 4
-	// tookWeight is the weight of one request in the mean service time.
-	tookWeight = 0.05
-	// minRetryAfter is the least time a refused caller is told to wait.
+	// serviceTimeWeight is the weight of one request in the mean service time.
+	serviceTimeWeight = 0.05
+	// minRetryAfter is the least time that a refused caller is told to wait.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// UnknownRunning stands for an upstream that does not count its requests.
+// UnknownRunning stands for the count of an upstream that does not report its requests.
 const UnknownRunning = -1
 
-// Decision is what becomes of an arrival.
+// Decision is the outcome of an arrival.
 type Decision uint8
 
 // The decisions.
@@ -33,58 +32,59 @@
 	Refuse
 )
 
-// Verdict is a decision with its reason.
+// Verdict is a decision; for a refusal also its reason and the time after which to retry.
 type Verdict struct {
 	Decision   Decision
 	Code       refusal.Code
 	RetryAfter time.Duration
 }
 
-// Ticket is a request in the gate's hands.
+// Ticket is a request that was passed to a gate.
 type Ticket struct {
 	Deadline time.Time
-	// Ready is closed by the shell when a queued ticket is admitted or
-	// refused; Verdict then tells which.
+	// Ready is closed by the gate's owner when a queued ticket is admitted or refused. Verdict
+	// then holds the decision.
 	Ready   chan struct{}
 	Verdict Verdict
 }
 
-// Gate guards one upstream's slots.
+// Gate limits the requests in progress at one upstream to its slots. It is not safe for concurrent
+// use.
 //
-// Invariant: used + strays <= slots for every admission. A stray is a request
-// that nobody waits for any more but that the upstream may still be running.
+// Invariant: used + orphans <= slots for every admission. An orphan is a request that no caller
+// waits for any more but that the upstream may still be running.
 type Gate struct {
-	slots  int
-	used   int
-	strays int
-	closed refusal.Code // not "" when nothing more is admitted
-	took   float64      // mean service time in seconds
-	queue  []*Ticket
+	slots       int
+	used        int
+	orphans     int
+	closeCode   refusal.Code // reason for refusing everything, "" while the gate is open
+	meanSeconds float64      // mean service time in seconds
+	queue       []*Ticket
 }
 
-// NewGate returns a gate that refuses everything until it is opened.
-func NewGate() *Gate { return &Gate{closed: refusal.NoUpstream} }
+// NewGate returns a gate that refuses everything until Open is called.
+func NewGate() *Gate { return &Gate{closeCode: refusal.NoUpstream} }
 
-// Open sets the slots of an announced upstream. running is the upstream's own
-// count of requests in progress, or UnknownRunning.
+// Open sets the slots of an announced upstream and returns the queued tickets that this admits.
+// running is the upstream's own count of requests in progress, or UnknownRunning.
 //
-// After the agent was started anew, the upstream may still run requests that
-// the agent knows nothing of. They hold their slots until the count is lower.
+// After a restart of the agent the upstream may still run requests that the agent does not know.
+// They occupy their slots until the upstream's count is lower.
 func (g *Gate) Open(slots, running int) []*Ticket {
-	first := g.closed == refusal.NoUpstream
-	g.slots, g.closed = slots, ""
+	first := g.closeCode == refusal.NoUpstream
+	g.slots, g.closeCode = slots, ""
 	switch {
 	case running != UnknownRunning && first:
-		g.strays = max(running-g.used, 0)
+		g.orphans = max(running-g.used, 0)
 	case running != UnknownRunning:
-		g.strays = min(g.strays, max(running-g.used, 0))
+		g.orphans = min(g.orphans, max(running-g.used, 0))
 	}
 	return g.admitQueued()
 }
 
-// Close refuses all that is queued and all that comes, with this reason.
+// Close refuses all queued and all further requests with this reason, and returns the queued ones.
 func (g *Gate) Close(code refusal.Code) []*Ticket {
-	g.closed = code
+	g.closeCode = code
 	out := g.queue
 	g.queue = nil
 	for _, t := range out {
@@ -93,47 +93,49 @@
 	return out
 }
 
-// Free returns the slots that could be used at once.
-func (g *Gate) Free() int { return max(g.slots-g.used-g.strays-len(g.queue), 0) }
+// Free returns the number of slots that are neither in use nor needed for queued requests.
+func (g *Gate) Free() int { return max(g.slots-g.used-g.orphans-len(g.queue), 0) }
 
-// Used returns the requests in progress.
+// Used returns the number of requests in progress.
 func (g *Gate) Used() int { return g.used }
 
 // Slots returns the number of slots.
 func (g *Gate) Slots() int { return g.slots }
 
-// Arrive decides on a request at once: a caller whose deadline cannot be met
-// learns it now, not when it has passed.
+// Arrive decides on a request immediately: a caller whose deadline cannot be met is refused now and
+// not when the deadline has passed.
 func (g *Gate) Arrive(t *Ticket, now time.Time) Verdict {
 	left := t.Deadline.Sub(now)
 	switch {
-	case g.closed != "":
-		return Verdict{Refuse, g.closed, minRetryAfter}
+	case g.closeCode != "":
+		return Verdict{Refuse, g.closeCode, minRetryAfter}
 	case left <= 0:
 		return Verdict{Refuse, refusal.DeadlinePassed, 0}
-	case g.used+g.strays < g.slots:
+	case g.used+g.orphans < g.slots:
 		g.used++
 		return Verdict{Decision: Admit}
 	case len(g.queue) >= max(g.slots*queuePerSlot, minQueue):
-		return Verdict{Refuse, refusal.Overloaded, g.drainTime()}
-	case g.wait()+g.mean() > left:
-		return Verdict{Refuse, refusal.DeadlineShort, g.drainTime()}
+		return Verdict{Refuse, refusal.Overloaded, g.retryAfter()}
+	case g.expectedWait()+g.meanServiceTime() > left:
+		return Verdict{Refuse, refusal.DeadlineShort, g.retryAfter()}
 	}
 	g.queue = append(g.queue, t)
 	return Verdict{Decision: Queue}
 }
 
-func (g *Gate) mean() time.Duration { return time.Duration(g.took * float64(time.Second)) }
+func (g *Gate) meanServiceTime() time.Duration {
+	return time.Duration(g.meanSeconds * float64(time.Second))
+}
 
-// wait estimates how long a new arrival would be queued.
-func (g *Gate) wait() time.Duration {
-	return g.mean() * time.Duration(len(g.queue)+1) / time.Duration(max(g.slots, 1))
+// expectedWait estimates how long a new arrival would be queued.
+func (g *Gate) expectedWait() time.Duration {
+	return g.meanServiceTime() * time.Duration(len(g.queue)+1) / time.Duration(max(g.slots, 1))
 }
 
-func (g *Gate) drainTime() time.Duration { return max(g.wait(), minRetryAfter) }
+func (g *Gate) retryAfter() time.Duration { return max(g.expectedWait(), minRetryAfter) }
 
-// Abandon takes a queued ticket out and reports whether it was still queued:
-// it then was certainly not run.
+// Abandon removes a ticket from the queue. It returns true if the ticket was still queued, which
+// means that its request was certainly not run.
 func (g *Gate) Abandon(t *Ticket) bool {
 	for i, q := range g.queue {
 		if q == t {
@@ -144,28 +146,29 @@
 	return false
 }
 
-// Finish frees the slot of a request that took so long, and returns the queued
-// tickets that are now decided.
+// Finish frees the slot of a request with this service time and returns the queued tickets that are
+// decided by it.
 func (g *Gate) Finish(took time.Duration, now time.Time) []*Ticket {
 	g.used--
-	if g.took == 0 {
-		g.took = took.Seconds()
+	if g.meanSeconds == 0 {
+		g.meanSeconds = took.Seconds()
 	}
-	g.took += (took.Seconds() - g.took) * tookWeight
+	g.meanSeconds += (took.Seconds() - g.meanSeconds) * serviceTimeWeight
 	return g.admitQueuedAt(now)
 }
 
-// Stray gives up waiting for a request without freeing its slot.
+// Stray records that the caller of a request in progress has stopped waiting. The request keeps its
+// slot, since the upstream may still be running it.
 func (g *Gate) Stray() {
 	g.used--
-	g.strays++
+	g.orphans++
 }
 
 func (g *Gate) admitQueued() []*Ticket { return g.admitQueuedAt(time.Time{}) }
 
 func (g *Gate) admitQueuedAt(now time.Time) []*Ticket {
 	var out []*Ticket
-	for len(g.queue) > 0 && g.used+g.strays < g.slots {
+	for len(g.queue) > 0 && g.used+g.orphans < g.slots {
 		t := g.queue[0]
 		g.queue = g.queue[1:]
 		if !now.IsZero() && !t.Deadline.After(now) {
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -14,17 +14,17 @@
 	return &Ticket{Deadline: start.Add(left), Ready: make(chan struct{})}
 }
 
-// Callers arrive, wait, give up, are served, and requests are given up while the
-// upstream still runs them, in any order. At no time does the upstream hold more
-// than its slots, and every ticket is decided once.
+// Callers arrive, wait, give up and are served, and callers stop waiting for requests that the
+// upstream still runs, in any order. The upstream must never hold more requests than it has slots,
+// and every ticket must be decided once.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 300 {
 		g := NewGate()
 		g.Open(1+rng.Intn(4), 0)
 		now := start
-		running, strays, waiting := 0, 0, []*Ticket{}
-		take := func(list []*Ticket) {
+		running, orphans, waiting := 0, 0, []*Ticket{}
+		settle := func(list []*Ticket) {
 			for _, tk := range list {
 				if tk.Verdict.Decision == Admit {
 					running++
@@ -50,41 +50,41 @@
 				}
 			case k < 8 && running > 0:
 				running--
-				take(g.Finish(5*time.Millisecond, now))
+				settle(g.Finish(5*time.Millisecond, now))
 			case k == 8 && running > 0:
 				running--
-				strays++
+				orphans++
 				g.Stray()
 			case k == 9:
-				strays = min(strays, rng.Intn(2))
-				take(g.Open(g.Slots(), running+strays))
+				orphans = min(orphans, rng.Intn(2))
+				settle(g.Open(g.Slots(), running+orphans))
 			}
-			if running+strays > g.Slots() || g.Used() != running {
-				t.Fatalf("%d running and %d strays in %d slots; the gate counts %d", running, strays, g.Slots(), g.Used())
+			if running+orphans > g.Slots() || g.Used() != running {
+				t.Fatalf("%d running and %d orphaned requests in %d slots; the gate counts %d", running, orphans, g.Slots(), g.Used())
 			}
 		}
 	}
 }
 
-// The agent was started anew while its upstream still runs three requests of
-// before. They hold their slots until the upstream's own count says otherwise.
+// Guards against overload after a restart of the agent: three requests from before are still
+// running at the upstream and must occupy their slots until the upstream's own count is lower.
 func TestRestartedAgentCountsWhatStillRuns(t *testing.T) {
 	g := NewGate()
 	g.Open(4, 3)
 	if g.Arrive(ticket(time.Second), start).Decision != Admit {
-		t.Fatal("one slot is free")
+		t.Fatal("refused although one slot is free")
 	}
 	if g.Arrive(ticket(time.Second), start).Decision != Queue {
-		t.Fatal("a slot was given that the upstream is still using")
+		t.Fatal("admitted to a slot that the upstream is still using")
 	}
 	if got := g.Open(4, 2); len(got) != 1 {
-		t.Fatalf("%d admitted when two of the old ones ended", len(got))
+		t.Fatalf("%d admitted after two of the earlier requests ended, want 1", len(got))
 	}
 }
 
-// A caller whose deadline cannot be met is refused at once and told when to come
-// back; it does not find out when its time is over.
-func TestHopelessArrivalIsRefusedAtOnce(t *testing.T) {
+// A caller whose deadline cannot be met, and one that meets a full queue, must be refused
+// immediately and told when to retry, instead of at its deadline.
+func TestUnservableArrivalIsRefusedImmediately(t *testing.T) {
 	g := NewGate()
 	g.Open(1, 0)
 	g.Arrive(ticket(time.Second), start)
@@ -98,12 +98,12 @@
 		g.Arrive(ticket(time.Hour), start)
 	}
 	if v := g.Arrive(ticket(time.Hour), start); v.Decision != Refuse || v.Code != refusal.Overloaded || v.RetryAfter <= 0 {
-		t.Fatalf("a full queue: %+v", v)
+		t.Fatalf("verdict at a full queue: %+v", v)
 	}
 }
 
-// An upstream withdraws. Everything queued and everything new is refused as
-// certainly not run, at once, whatever the entries know.
+// An upstream withdraws. Everything queued and everything new must be refused immediately as not
+// run, even if the entries have not learned of it yet.
 func TestClosedGateRefusesQueuedAndNew(t *testing.T) {
 	g := NewGate()
 	g.Open(1, 0)
@@ -111,13 +111,13 @@
 	queued := ticket(time.Second)
 	g.Arrive(queued, start)
 	if out := g.Close(refusal.Leaving); len(out) != 1 || out[0] != queued || queued.Verdict.Code != refusal.Leaving {
-		t.Fatalf("queued: %+v", queued.Verdict)
+		t.Fatalf("verdict on the queued request: %+v", queued.Verdict)
 	}
 	if v := g.Arrive(ticket(time.Second), start); v.Decision != Refuse || v.Code != refusal.Leaving {
-		t.Fatalf("new: %+v", v)
+		t.Fatalf("verdict on a new request: %+v", v)
 	}
 	g.Finish(time.Millisecond, start)
 	if g.Used() != 0 {
-		t.Fatal("the request in progress was not let finish")
+		t.Fatal("the request in progress still holds its slot after it finished")
 	}
 }
