--- a/interference/baseline.go
+++ b/interference/baseline.go
@@ -1,6 +1,7 @@
 package interference
 
-// Baseline learns how slow a service is when it runs alone, per load band.
+// Baseline learns the latency of each service when it runs alone, per load band. Slowdowns are
+// measured against it. It is not safe for concurrent use.
 type Baseline struct {
 	alone  map[pair]*mean
 	lowest map[pair]float64
@@ -11,13 +12,13 @@
 	return &Baseline{alone: make(map[pair]*mean), lowest: make(map[pair]float64)}
 }
 
-// lowestRise lets the lowest value seen creep up, so that one lucky
-// measurement does not stay the yardstick for ever.
-const lowestRise = 1.002
+// lowestGrowth is the factor by which the lowest latency seen rises with each measurement, so
+// that one unusually fast measurement does not remain the reference for ever.
+const lowestGrowth = 1.002
 
-// Slowdown takes one measured latency in milliseconds and returns it relative
-// to running alone, or 0 when nothing is known to compare with. Until the
-// service was seen alone under such a load, the lowest value stands in.
+// Slowdown returns a measured latency, in milliseconds, relative to the service running alone at
+// this load, or 0 if there is nothing to compare it with. Until the service has been measured
+// alone often enough in this load band, the lowest latency seen is the reference.
 func (b *Baseline) Slowdown(service string, load, latency float64, alone bool) float64 {
 	key := pair{service: service, band: Band(load)}
 	if latency <= 0 {
@@ -27,7 +28,7 @@
 	if !seen || latency < low {
 		low = latency
 	}
-	b.lowest[key] = low * lowestRise
+	b.lowest[key] = low * lowestGrowth
 	if alone {
 		m := b.alone[key]
 		if m == nil {
@@ -36,7 +37,7 @@
 		}
 		m.add(latency)
 	}
-	if m := b.alone[key]; m != nil && m.n >= minAlone {
+	if m := b.alone[key]; m != nil && m.n >= minAloneSamples {
 		return latency / m.value
 	}
 	if !seen {
@@ -45,14 +46,14 @@
 	return latency / low
 }
 
-// Alone returns the mean latency of a service running alone, in milliseconds, 0
-// if it was not seen alone often enough.
+// Alone returns the mean latency of a service running alone, in milliseconds, or 0 if it has not
+// been measured alone often enough.
 func (b *Baseline) Alone(service string, load float64) float64 {
-	if m := b.alone[pair{service: service, band: Band(load)}]; m != nil && m.n >= minAlone {
+	if m := b.alone[pair{service: service, band: Band(load)}]; m != nil && m.n >= minAloneSamples {
 		return m.value
 	}
 	return 0
 }
 
-// minAlone is how many measurements alone make a yardstick.
-const minAlone = 5
+// minAloneSamples is the number of measurements alone that make their mean the reference.
+const minAloneSamples = 5
--- a/interference/model_test.go
+++ b/interference/model_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Three jobs share workers in changing company, and only the sum of their costs is
-// ever measured, with noise. The model must still tell which of them is noisy, or
-// the wrong task would be moved; and when a job changes, it must follow.
-func TestCostsAreToldApartAndFollowed(t *testing.T) {
+// Three jobs share workers in varying combinations, and only the noisy sum of their costs is
+// measured. The model must still separate them, or the wrong task would be moved, and it must
+// follow a job whose cost changes.
+func TestJobCostsAreSeparatedAndTracked(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	truth := map[string]float64{"noisy": 0.10, "quiet": 0.002, "middling": 0.03}
 	m := NewModel()
@@ -39,9 +39,9 @@
 	check("after a change")
 }
 
-// A job never seen beside a service is judged by what it cost elsewhere, one never
-// seen at all by the others, and a load never seen by the next lower one, each less
-// certain than what was measured.
+// A job never measured beside a service is estimated from its cost elsewhere, an unknown job from
+// the other jobs, and an unknown load from the next lower band, each with a larger variance than a
+// measured pair.
 func TestUnseenPairsFallBack(t *testing.T) {
 	m := NewModel()
 	for range 100 {
@@ -49,27 +49,27 @@
 	}
 	seen, elsewhere := m.Predict("s1", "noisy", 0.3), m.Predict("s2", "noisy", 0.3)
 	if math.Abs(elsewhere.Mean-seen.Mean) > 0.03 || elsewhere.Var <= seen.Var || elsewhere.Seen != 0 {
-		t.Errorf("elsewhere %+v, seen %+v", elsewhere, seen)
+		t.Errorf("beside another service %+v, measured %+v", elsewhere, seen)
 	}
 	if never := m.Predict("s1", "other", 0.3); never.Var <= elsewhere.Var {
-		t.Errorf("never seen %+v", never)
+		t.Errorf("unknown job %+v", never)
 	}
 	if higher := m.Predict("s1", "noisy", 0.9); higher.Mean <= seen.Mean || higher.Var <= seen.Var {
-		t.Errorf("at a higher load %+v, seen %+v", higher, seen)
+		t.Errorf("at a higher load %+v, measured %+v", higher, seen)
 	}
 }
 
-// The yardstick is the service alone under the same load; until that was measured,
-// the best time seen stands in, and a first measurement says nothing.
+// The reference is the service alone at the same load. Until that has been measured, the lowest
+// latency is the reference, and a first measurement yields no slowdown.
 func TestSlowdownIsAgainstRunningAlone(t *testing.T) {
 	b := NewBaseline()
 	if got := b.Slowdown("s", 0.3, 10, false); got != 0 {
-		t.Errorf("the first measurement: %v", got)
+		t.Errorf("slowdown of the first measurement: %v", got)
 	}
 	if got := b.Slowdown("s", 0.3, 20, false); got < 1.9 || got > 2 {
-		t.Errorf("against the best seen: %v", got)
+		t.Errorf("against the lowest latency: %v", got)
 	}
-	for range minAlone {
+	for range minAloneSamples {
 		b.Slowdown("s", 0.3, 8, true)
 	}
 	if got := b.Slowdown("s", 0.3, 16, false); got != 2 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// A new leader knows nothing; the agents tell it what the old one knew. What it has
-// seen itself since counts more.
+// A new leader starts with an empty model and gets the previous leader's estimates from the agents.
+// They must not replace what it has measured itself since.
 func TestHintFillsOnlyWhatWasNotSeen(t *testing.T) {
 	m := NewModel()
 	m.Hint("title", "render", 0, 1.2)
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -7,151 +7,158 @@
 	"time"
 )
 
-// Pressures learns how much of a served image's headroom one processor of filling work
-// takes, by pair of images. Headroom is the target over the tail: 1 is a tail at its
-// target. The tail of a queue is its unloaded latency over the share of its capacity that
-// is free, so headroom falls in a straight line with what is added, its own load and each
-// neighbour's alike. A logarithm of the slowdown, by contrast, makes the same neighbour
-// count three times as much at the height of the task's own load as in its trough.
+// Pressures learns the pressure of each pair of images: how much of a served image's headroom one
+// processor of a filling image takes. Headroom is the latency target divided by the tail latency;
+// it is 1 when the tail is at its target. The tail of a queue is its unloaded latency divided by
+// the free share of its capacity, so headroom falls linearly with every added load, the image's
+// own as well as each neighbour's. The logarithm of the slowdown is not linear: the same neighbour
+// would count three times as much at the peak of the image's own load as in its trough.
 //
-// It learns from changes: from one reading to the next half a second later the task's own
-// load hardly moves, while a neighbour that begins or ends moves by all of its work. It is
-// pure and not safe for concurrent use.
+// It learns from changes: between two readings half a second apart the own load hardly changes,
+// while a neighbour that begins or ends changes by all of its processors. It does no I/O and is
+// not safe for concurrent use.
 type Pressures struct {
-	pairs map[imagePair]*pairEstimate
-	kin   kin
+	pairs      map[imagePair]*pairEstimate
+	similarity similarity
 }
 
-// pairEstimate is what is known of a pair: what its kin told when it was first seen, and the
-// steps since.
+// pairEstimate is what is known of a pair: the prior from similar images, and the estimate that
+// follows from it and the steps observed.
 type pairEstimate struct {
 	Estimate
 	prior Estimate
-	// whole says that kin add nothing: somebody else's estimate has them in it.
-	whole bool
+	// complete is set for an estimate that was taken over from elsewhere: it already includes
+	// what is known of similar images.
+	complete bool
 }
 
-// settled reports whether the estimate needs no kin.
-func (e *pairEstimate) settled() bool { return e.whole || e.Seen >= settledSteps }
+// settled reports whether the estimate is used without a prior from similar images.
+func (e *pairEstimate) settled() bool { return e.complete || e.Seen >= settledSteps }
 
-// with returns the estimate with another prior in place of its own.
+// with returns the estimate with its prior replaced by another one.
 func (e *pairEstimate) with(prior Estimate) Estimate {
 	own := 1/e.Var - 1/e.prior.Var // precision of the steps alone
 	if own <= 0 {
 		return Estimate{Mean: prior.Mean, Var: prior.Var, Seen: e.Seen}
 	}
-	told := e.Mean/e.Var - e.prior.Mean/e.prior.Var
+	weighted := e.Mean/e.Var - e.prior.Mean/e.prior.Var
 	variance := 1 / (own + 1/prior.Var)
-	return Estimate{Mean: math.Min(math.Max(variance*(told+prior.Mean/prior.Var), 0), mostPressure), Var: variance, Seen: e.Seen}
+	return Estimate{Mean: math.Min(math.Max(variance*(weighted+prior.Mean/prior.Var), 0), maxPressure), Var: variance, Seen: e.Seen}
 }
 
 type imagePair struct{ serving, filling string }
 
-// Step is the change from one reading of a served image to the next on the same worker.
+// Step is the change between two consecutive readings of a served image on one worker.
 type Step struct {
 	Headroom float64            // of the later reading
 	Change   float64            // of the headroom
 	Fillers  map[string]float64 // change of the processors in use, by filling image
-	Over     time.Duration      // between the readings
+	Over     time.Duration      // time between the readings
 }
 
-// Figures of readings on workers of 64 processors, tails of 10 to 50 ms and targets of 50.
+// Parameters from readings on workers with 64 processors, tails of 10 to 50 ms and targets of
+// 50 ms.
 const (
-	// readingError is the relative error of a tail in one reading.
+	// readingError is the relative error of the tail in one reading.
 	readingError = 0.05
-	// stepError and stepRate are the same for a step: the middle of several tails, and
-	// what is left of the own load's change once its trend is taken off.
+	// stepError is the relative error of the headroom in a step, which is the median of several
+	// tails. stepRate is the change of the own load per second that remains after its trend is
+	// subtracted.
 	stepError = 0.035
 	stepRate  = 0.2
-	// ownRate is how fast headroom changes by the task's own load, by second: a swing
-	// between 1.7 and 3.9 over 14 s.
+	// ownRate is the deviation of the change of headroom per second by the own load, which
+	// moved it between 1.7 and 3.9 within 14 s.
 	ownRate = 0.35
-	// firstMean and firstDeviation are of a pair never seen: three in four take 0.01 to
-	// 0.03 of headroom a processor, the others 0.07 to 0.22.
-	firstMean      = 0.05
-	firstDeviation = 0.07
-	// leastDeviation keeps a pair open to change: what a run takes goes up and down by
-	// half within a second or two.
-	leastDeviation = 0.008
-	// wildMiss is the number of deviations past which a reading counts no further: a
-	// worker that turns slow must not be taught as a neighbour's doing.
-	wildMiss = 3
-	// leastStep is the change of a filler's processors that teaches anything.
-	leastStep = 0.5
-	// mostPressure bounds an estimate: ten processors of it take any headroom seen.
-	mostPressure = 0.5
+	// priorMean and priorDeviation are those of a pair that was never observed: three in four
+	// pairs take 0.01 to 0.03 of headroom per processor, the others 0.07 to 0.22.
+	priorMean      = 0.05
+	priorDeviation = 0.07
+	// minDeviation keeps an estimate open to change: the pressure of a run varies by half
+	// within a second or two.
+	minDeviation = 0.008
+	// maxResidualSigmas is the number of deviations to which the residual of a step is clipped,
+	// so that a worker that turns slow is not attributed to a neighbour.
+	maxResidualSigmas = 3
+	// minStep is the least change of a filling image's processors that is learned from.
+	minStep = 0.5
+	// maxPressure bounds an estimate: at this pressure ten processors use up any headroom
+	// observed.
+	maxPressure = 0.5
 )
 
-// Unseen is what a processor of a pair never seen is taken for.
-func Unseen() Estimate { return Estimate{Mean: firstMean, Var: square(firstDeviation)} }
+// Unseen returns the prior estimate of a pair about which nothing is known.
+func Unseen() Estimate { return Estimate{Mean: priorMean, Var: square(priorDeviation)} }
 
-// NewPressures returns a model that knows nothing.
+// NewPressures returns an empty model.
 func NewPressures() *Pressures {
 	return &Pressures{pairs: make(map[imagePair]*pairEstimate)}
 }
 
-// Of returns what one processor of a filling image takes of a served image's headroom.
+// Of returns the estimated headroom that one processor of a filling image takes from a served
+// image.
 func (p *Pressures) Of(serving, filling string) Estimate {
 	e := p.pairs[imagePair{serving, filling}]
 	switch {
 	case e == nil:
-		return p.expected(serving, filling)
+		return p.priorOf(serving, filling)
 	case e.settled():
 		return e.Estimate
 	}
-	return e.with(p.expected(serving, filling))
+	return e.with(p.priorOf(serving, filling))
 }
 
-// Each calls f with every pair that was seen.
+// Each calls f with every pair that was observed or taken over by Hint, in no particular order.
 func (p *Pressures) Each(f func(serving, filling string, e Estimate)) {
 	for pair, e := range p.pairs {
 		f(pair.serving, pair.filling, e.Estimate)
 	}
 }
 
-// Observe takes in a step of a served image.
+// Observe learns from one step of a served image.
 func (p *Pressures) Observe(serving string, s Step) {
 	noise := 2 * square(stepError*s.Headroom)
 	noise += square(stepRate * s.Over.Seconds())
 	expected, total := 0.0, noise
-	var moved []string
+	var changed []string
 	for _, filling := range slices.Sorted(maps.Keys(s.Fillers)) { // sums of floats depend on their order
 		change := s.Fillers[filling]
-		if math.Abs(change) < leastStep {
+		if math.Abs(change) < minStep {
 			continue
 		}
-		e := p.at(serving, filling)
+		e := p.estimateFor(serving, filling)
 		expected -= change * e.Mean
 		total += square(change) * e.Var
-		moved = append(moved, filling)
+		changed = append(changed, filling)
 	}
-	miss := s.Change - expected
-	bound := wildMiss * math.Sqrt(total)
-	miss = math.Min(math.Max(miss, -bound), bound)
-	for _, filling := range moved {
-		e := p.at(serving, filling)
+	residual := s.Change - expected
+	bound := maxResidualSigmas * math.Sqrt(total)
+	residual = math.Min(math.Max(residual, -bound), bound)
+	for _, filling := range changed {
+		e := p.estimateFor(serving, filling)
 		gain := -s.Fillers[filling] * e.Var / total
-		e.Mean = math.Min(math.Max(e.Mean+gain*miss, 0), mostPressure)
-		e.Var = math.Max(e.Var*(1+gain*s.Fillers[filling]), square(leastDeviation))
+		e.Mean = math.Min(math.Max(e.Mean+gain*residual, 0), maxPressure)
+		e.Var = math.Max(e.Var*(1+gain*s.Fillers[filling]), square(minDeviation))
 		e.Seen++
 	}
-	if p.kin.age++; p.kin.age >= max(kinEvery, len(p.pairs)) || p.kin.expect == nil {
-		p.renewKin()
+	if p.similarity.age++; p.similarity.age >= max(minUpdateSteps, len(p.pairs)) || p.similarity.predicted == nil {
+		p.updateSimilarity()
 	}
 }
 
-// Hint takes over an estimate that somebody else made of a pair not seen here yet.
+// Hint takes over an estimate made elsewhere, such as by an earlier leader, unless the pair is
+// already known here.
 func (p *Pressures) Hint(serving, filling string, e Estimate) {
 	if key := (imagePair{serving, filling}); p.pairs[key] == nil {
 		e.Seen = max(e.Seen, 1)
-		p.pairs[key] = &pairEstimate{Estimate: e, whole: true}
+		p.pairs[key] = &pairEstimate{Estimate: e, complete: true}
 	}
 }
 
-// at returns a pair's estimate to be corrected, with what its kin tell now as its prior.
-func (p *Pressures) at(serving, filling string) *pairEstimate {
+// estimateFor returns the estimate of a pair for correction, with the present prediction from
+// similar images as its prior. It creates the estimate if there is none.
+func (p *Pressures) estimateFor(serving, filling string) *pairEstimate {
 	key := imagePair{serving, filling}
-	prior := p.expected(serving, filling)
+	prior := p.priorOf(serving, filling)
 	e := p.pairs[key]
 	switch {
 	case e == nil:
--- a/interference/pressure_test.go
+++ b/interference/pressure_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// queueTail is the tail of a queue with an unloaded latency of 10 ms, in ms.
+// queueTail is the tail latency of a queue with an unloaded latency of 10 ms, in milliseconds.
 func queueTail(load float64) float64 { return 10 / (1 - load) }
 
 const target = 50.0 // ms
 
-// headroomOf is target over tail at an own load and a neighbour's.
+// headroomOf is the headroom at a total load.
 func headroomOf(load float64) float64 { return target / queueTail(load) }
 
 // halfSecond is the time between two readings.
 const halfSecond = 500 * time.Millisecond
 
-// The same neighbour, taking a fifth of the capacity with eight processors, is seen once
-// in the trough of the watcher's own load, where the tail goes from 13 to 18 ms, and once
-// at its height, where it goes from 30 to 77. Taken for factors these are 1.4 and 2.6. By
-// headroom they are one number, and what is learned in the trough holds at the height.
+// The same neighbour takes a fifth of the capacity with eight processors: once in the trough of the
+// served image's own load, where the tail rises from 13 to 18 ms, and once at its peak, where it
+// rises from 30 to 77 ms. As factors these would be 1.4 and 2.6; as headroom they are equal, so
+// that what is learned in the trough is valid at the peak.
 func TestPressureIsTheSameInTroughAndPeak(t *testing.T) {
 	const processors, share = 8.0, 0.2
 	learn := func(own float64) float64 {
@@ -34,36 +34,36 @@
 	}
 	want := share * target / 10 / processors
 	if trough, peak := learn(0.22), learn(0.67); math.Abs(trough-want) > 0.01 || math.Abs(peak-want) > 0.01 {
-		t.Errorf("learned %.3f in the trough and %.3f at the height, want %.3f", trough, peak, want)
+		t.Errorf("learned %.3f in the trough and %.3f at the peak, want %.3f", trough, peak, want)
 	}
 }
 
-// A pair that takes much has to be known after the first time that it is seen: each time
-// before costs the watcher's users half a second over target. And one that takes next to
-// nothing must be known for that soon, or renders wait for room that there is.
-func TestOnePassingOfARenderTellsMuch(t *testing.T) {
+// A pair with a high pressure must be known after one observation, since each further one costs
+// the users of the served image half a second over the target. A pair with a very low pressure
+// must be known as early, or filling tasks wait although there is free capacity.
+func TestOneObservationIsInformative(t *testing.T) {
 	p := NewPressures()
-	see := func(image string, pressure float64) {
+	observe := func(image string, pressure float64) {
 		change := 8 * pressure
 		p.Observe("watch", Step{Headroom: 2 - change, Change: -change, Fillers: map[string]float64{image: 8}, Over: halfSecond})
 		p.Observe("watch", Step{Headroom: 2, Change: change, Fillers: map[string]float64{image: -8}, Over: halfSecond})
 	}
-	see("heavy", 0.15)
-	see("light", 0.005)
+	observe("heavy", 0.15)
+	observe("light", 0.005)
 	if m := p.Of("watch", "heavy").Mean; m < 0.11 {
-		t.Errorf("the heavy one is taken for %.3f", m)
+		t.Errorf("pressure of the heavy image is estimated as %.3f", m)
 	}
 	if m := p.Of("watch", "light").Mean; m > 0.02 {
-		t.Errorf("the light one is taken for %.3f", m)
+		t.Errorf("pressure of the light image is estimated as %.3f", m)
 	}
 	if m := p.Of("watch", "never").Mean; math.Abs(m-Unseen().Mean) > 0.01 {
-		t.Errorf("a pair never seen is taken for %.3f, as one that was", m)
+		t.Errorf("pressure of an unobserved pair is estimated as %.3f instead of the prior", m)
 	}
 }
 
-// Two images begin together. What the change says is shared by what is not known: the one
-// that was seen often to take nothing is not blamed.
-func TestAChangeIsLaidToWhatIsNotKnown(t *testing.T) {
+// Two images begin together. The change must be attributed to the unknown one, not to the one that
+// has often been observed to take nothing.
+func TestChangeIsAttributedToUncertainPairs(t *testing.T) {
 	p := NewPressures()
 	for range 10 {
 		p.Observe("watch", Step{Headroom: 2, Change: 0, Fillers: map[string]float64{"light": 8}, Over: halfSecond})
@@ -72,13 +72,13 @@
 	p.Observe("watch", Step{Headroom: 1, Change: -1.2, Fillers: map[string]float64{"light": 8, "fresh": 8}, Over: halfSecond})
 	light, fresh := p.Of("watch", "light").Mean, p.Of("watch", "fresh").Mean
 	if light > 0.03 || fresh < 0.1 {
-		t.Errorf("the known one is taken for %.3f, the new one for %.3f", light, fresh)
+		t.Errorf("pressure of the known image is estimated as %.3f, of the new one as %.3f", light, fresh)
 	}
 }
 
-// A worker turns slow just as a render begins there, and its tails go to six times. Taught
-// in full as the render's doing, this would keep it off every other worker.
-func TestAWorkerThatTurnsSlowTeachesLittle(t *testing.T) {
+// A worker turns slow just when a filling task begins there, and its tails rise sixfold. Attributed
+// in full to that task, this would keep its image away from every other worker.
+func TestSlowWorkerHasLimitedInfluence(t *testing.T) {
 	p := NewPressures()
 	for range 10 {
 		p.Observe("watch", Step{Headroom: 2.5, Change: 0, Fillers: map[string]float64{"light": 8}, Over: halfSecond})
@@ -86,19 +86,19 @@
 	}
 	p.Observe("watch", Step{Headroom: 0.4, Change: -2.1, Fillers: map[string]float64{"light": 8}, Over: halfSecond})
 	if m := p.Of("watch", "light").Mean; m > 0.03 {
-		t.Errorf("after it the render is taken for %.3f", m)
+		t.Errorf("pressure of the filling image is estimated as %.3f afterwards", m)
 	}
 }
 
-// What another leader learned is taken over, but never over what was seen here.
-func TestHintsGiveWayToWhatWasSeen(t *testing.T) {
+// Estimates of an earlier leader are taken over, but never replace what is known here.
+func TestHintsDoNotReplaceKnownPairs(t *testing.T) {
 	p := NewPressures()
 	p.Hint("watch", "heavy", Estimate{Mean: 0.2, Var: 0.0001, Seen: 20})
 	if e := p.Of("watch", "heavy"); e.Mean != 0.2 || e.Seen != 20 {
-		t.Errorf("the hint is not taken: %+v", e)
+		t.Errorf("the hint is not applied: %+v", e)
 	}
 	p.Hint("watch", "heavy", Estimate{Mean: 0.01})
 	if p.Of("watch", "heavy").Mean != 0.2 {
-		t.Error("a hint replaces what is known")
+		t.Error("a hint replaces a known estimate")
 	}
 }
--- a/interference/tracker.go
+++ b/interference/tracker.go
@@ -6,75 +6,76 @@
 	"time"
 )
 
-// Tracker follows one served image on one worker: its own headroom, how fast that
-// changes, and what each filling image beside it takes at the moment. It is a Kalman
-// filter over these, fed with one reading at a time; the learned pressure of each pair is
-// what an image's present pressure returns to. It is pure and not safe for concurrent use.
+// Tracker follows one served image on one worker: its own headroom, that is, the headroom it would
+// have alone, the rate at which this changes, and the present pressure of each filling image beside
+// it. It is a Kalman filter over these, updated with one reading at a time; the present pressure of
+// an image returns to the learned pressure of the pair. It does no I/O and is not safe for
+// concurrent use.
 type Tracker struct {
-	at      time.Time
-	filling []string // images, by place in the state after own and rate
-	prior   []Estimate
-	x       []float64
-	p       [][]float64 // covariance
+	lastRead time.Time
+	filling  []string // images, in the order of their states after own headroom and rate
+	prior    []Estimate
+	x        []float64
+	p        [][]float64 // covariance
 }
 
-// Places in the state.
+// Indices into the state.
 const (
-	stateOwn  = 0
-	stateRate = 1
-	stateRest = 2
+	stateOwn     = 0
+	stateRate    = 1
+	stateFilling = 2
 )
 
-// Figures of the same readings as those above.
+// Parameters from the same readings as those of Pressures.
 const (
-	// firstLevel is the deviation of an image's own headroom before the first reading.
-	firstLevel = 1.0
-	// ownNoise and rateNoise are deviations by which the own headroom and its rate move
-	// in a second besides what the rate says.
+	// initialDeviation is the deviation of the own headroom before the first reading.
+	initialDeviation = 1.0
+	// ownNoise and rateNoise are the deviations by which the own headroom and its rate change
+	// in a second beyond what the rate predicts.
 	ownNoise  = 0.1
 	rateNoise = 0.2
-	// tailError is the least error of a reading's headroom.
-	tailError = 0.03
-	// spurt is the deviation of what a run takes, as a part of its mean, and spurtTime
-	// how long it stays so.
-	spurt     = 0.4
-	spurtTime = 2 * time.Second
-	// longestGap is the time between two readings past which the first says nothing of
-	// the second: half of the shortest swing seen.
-	longestGap = 7 * time.Second
+	// minHeadroomError is the least error of the headroom in a reading.
+	minHeadroomError = 0.03
+	// burstDeviation is the deviation of a run's pressure, relative to its mean, and burstTime
+	// the time constant with which it decays.
+	burstDeviation = 0.4
+	burstTime      = 2 * time.Second
+	// maxGap is the time between two readings beyond which the earlier one has no predictive
+	// value: half of the shortest period of the own load observed.
+	maxGap = 7 * time.Second
 )
 
-// Read takes in a reading: the headroom, and the processors in use by filling image. prior
-// tells what is known of a filling image beside this one.
+// Read takes in a reading: the headroom, and the processors in use by filling image. prior returns
+// the learned pressure of a filling image on this one.
 func (t *Tracker) Read(at time.Time, headroom float64, use map[string]float64, prior func(filling string) Estimate) {
-	gap := at.Sub(t.at)
-	if t.x == nil || gap > longestGap {
-		t.start(headroom, use, prior)
+	gap := at.Sub(t.lastRead)
+	if t.x == nil || gap > maxGap {
+		t.reset(headroom, use, prior)
 	} else {
-		t.advance(gap)
+		t.predict(gap)
 	}
-	t.at = at
+	t.lastRead = at
 	for image := range use {
-		t.meet(image, prior(image))
+		t.addImage(image, prior(image))
 	}
-	t.leave(use)
+	t.removeAbsent(use)
 	t.correct(headroom, use)
 }
 
-// start begins anew: the own headroom is what is read and what the neighbours are
-// thought to take.
-func (t *Tracker) start(headroom float64, use map[string]float64, prior func(string) Estimate) {
+// reset starts from one reading: the own headroom is the headroom read plus what the filling images
+// are expected to take.
+func (t *Tracker) reset(headroom float64, use map[string]float64, prior func(string) Estimate) {
 	own := headroom
 	for image, n := range use {
 		own += n * prior(image).Mean
 	}
 	t.filling, t.prior = nil, nil
 	t.x = []float64{own, 0}
-	t.p = [][]float64{{square(firstLevel), 0}, {0, square(ownRate)}}
+	t.p = [][]float64{{square(initialDeviation), 0}, {0, square(ownRate)}}
 }
 
-// advance lets time pass.
-func (t *Tracker) advance(gap time.Duration) {
+// predict advances the state and its covariance by the time since the last reading.
+func (t *Tracker) predict(gap time.Duration) {
 	dt := gap.Seconds()
 	t.x[stateOwn] += dt * t.x[stateRate]
 	for i := range t.p {
@@ -85,23 +86,23 @@
 	}
 	t.p[stateOwn][stateOwn] += square(ownNoise) * dt
 	t.p[stateRate][stateRate] = math.Min(t.p[stateRate][stateRate]+square(rateNoise)*dt, square(ownRate))
-	keep := math.Exp(-dt / spurtTime.Seconds())
-	for i := stateRest; i < len(t.x); i++ {
-		prior := t.prior[i-stateRest]
+	keep := math.Exp(-dt / burstTime.Seconds())
+	for i := stateFilling; i < len(t.x); i++ {
+		prior := t.prior[i-stateFilling]
 		t.x[i] = prior.Mean + keep*(t.x[i]-prior.Mean)
 		for k := range t.x {
 			t.p[i][k] *= keep
 			t.p[k][i] *= keep
 		}
-		t.p[i][i] += (1 - keep*keep) * spread(prior)
+		t.p[i][i] += (1 - keep*keep) * runVariance(prior)
 	}
 }
 
-// spread is the variance of what a run takes at any moment.
-func spread(e Estimate) float64 { return e.Var + square(spurt*e.Mean) }
+// runVariance returns the variance of the present pressure of a run.
+func runVariance(e Estimate) float64 { return e.Var + square(burstDeviation*e.Mean) }
 
-// meet adds a filling image to the state, or renews what is known of it.
-func (t *Tracker) meet(image string, prior Estimate) {
+// addImage adds a filling image to the state, or updates its prior.
+func (t *Tracker) addImage(image string, prior Estimate) {
 	if i := slices.Index(t.filling, image); i >= 0 {
 		t.prior[i] = prior
 		return
@@ -112,17 +113,17 @@
 		t.p[i] = append(t.p[i], 0)
 	}
 	row := make([]float64, len(t.x))
-	row[len(row)-1] = spread(prior)
+	row[len(row)-1] = runVariance(prior)
 	t.p = append(t.p, row)
 }
 
-// leave drops the filling images that are no longer there.
-func (t *Tracker) leave(use map[string]float64) {
+// removeAbsent removes the filling images that are not in use.
+func (t *Tracker) removeAbsent(use map[string]float64) {
 	for i := len(t.filling) - 1; i >= 0; i-- {
 		if _, there := use[t.filling[i]]; there {
 			continue
 		}
-		at := i + stateRest
+		at := i + stateFilling
 		t.filling, t.prior, t.x = slices.Delete(t.filling, i, i+1), slices.Delete(t.prior, i, i+1), slices.Delete(t.x, at, at+1)
 		t.p = slices.Delete(t.p, at, at+1)
 		for k := range t.p {
@@ -131,17 +132,17 @@
 	}
 }
 
-// weights returns by how much each part of the state counts in a headroom.
+// weights returns the coefficient of each state in the headroom some time ahead.
 func (t *Tracker) weights(ahead time.Duration, use map[string]float64) []float64 {
 	h := make([]float64, len(t.x))
 	h[stateOwn], h[stateRate] = 1, ahead.Seconds()
 	for i, image := range t.filling {
-		h[i+stateRest] = -use[image]
+		h[i+stateFilling] = -use[image]
 	}
 	return h
 }
 
-// apply returns the covariance times weights, and the variance in their direction.
+// apply returns the covariance times h, and the variance in the direction of h.
 func (t *Tracker) apply(h []float64) (ph []float64, variance float64) {
 	ph = make([]float64, len(h))
 	for i := range ph {
@@ -155,29 +156,29 @@
 
 func (t *Tracker) correct(headroom float64, use map[string]float64) {
 	h := t.weights(0, use)
-	miss := headroom
+	residual := headroom
 	for i := range h {
-		miss -= h[i] * t.x[i]
+		residual -= h[i] * t.x[i]
 	}
 	ph, variance := t.apply(h)
-	total := variance + square(readingError*headroom) + square(tailError)
+	total := variance + square(readingError*headroom) + square(minHeadroomError)
 	for i := range t.x {
-		t.x[i] += ph[i] / total * miss
+		t.x[i] += ph[i] / total * residual
 	}
 	for i := range t.p {
 		for k := range t.p {
 			t.p[i][k] -= ph[i] * ph[k] / total
 		}
 	}
-	for i := stateRest; i < len(t.x); i++ {
+	for i := stateFilling; i < len(t.x); i++ {
 		t.x[i] = math.Max(t.x[i], 0)
 	}
 }
 
-// Expect returns the headroom expected some time after the last reading with these
-// processors in use. Images that the last reading did not have count with what is known of
-// them, and those never seen beside this one with what they rarely take more than: the
-// first half second of a run shows.
+// Expect returns the headroom expected some time after the last reading with these processors in
+// use. Images that the last reading did not include count with their learned pressure, and those
+// never observed beside this one with one deviation more: they rarely take more than that, and the
+// first half second of a run shows what they take.
 func (t *Tracker) Expect(ahead time.Duration, use map[string]float64, prior func(filling string) Estimate) float64 {
 	mean := 0.0
 	for i, w := range t.weights(ahead, use) {
@@ -197,18 +198,18 @@
 	return mean
 }
 
-// Pressure returns what a processor of a filling image takes at the moment, false if the
-// last reading did not have it.
+// Pressure returns the present pressure of a filling image, in headroom per processor. It returns
+// false if the last reading did not include the image.
 func (t *Tracker) Pressure(image string) (float64, bool) {
 	i := slices.Index(t.filling, image)
 	if i < 0 {
 		return 0, false
 	}
-	return t.x[i+stateRest], true
+	return t.x[i+stateFilling], true
 }
 
-// Own returns the headroom that the image would have with nothing beside it.
+// Own returns the headroom that the served image would have alone.
 func (t *Tracker) Own() float64 { return t.x[stateOwn] }
 
-// Rate returns how fast that changes, by second.
+// Rate returns the change of the own headroom per second.
 func (t *Tracker) Rate() float64 { return t.x[stateRate] }
--- a/interference/tracker_test.go
+++ b/interference/tracker_test.go
@@ -11,16 +11,16 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// swing is a watcher's own load, between 0.22 and 0.67 of its capacity over 14 s.
-func swing(seconds float64) float64 { return 0.45 * (1 + 0.5*math.Sin(2*math.Pi*seconds/14)) }
+// ownLoad is the own load of a served image: 0.22 to 0.67 of its capacity with a period of 14 s.
+func ownLoad(seconds float64) float64 { return 0.45 * (1 + 0.5*math.Sin(2*math.Pi*seconds/14)) }
 
 func known(pressure float64) func(string) Estimate {
 	return func(string) Estimate { return Estimate{Mean: pressure, Var: 0.0001, Seen: 20} }
 }
 
-// A render that takes a fifth of the watcher's capacity begins and ends while the
-// watcher's own load swings. Half a second ahead the headroom is foretold.
-func TestTrackerForetellsTheNextReading(t *testing.T) {
+// A filling task that takes a fifth of the served image's capacity begins and ends while the own
+// load swings. The headroom half a second ahead must be predicted.
+func TestTrackerPredictsNextReading(t *testing.T) {
 	var tr Tracker
 	rng := rand.New(rand.NewPCG(1, 2))
 	start, prior := time.Unix(0, 0), known(0.125)
@@ -31,7 +31,7 @@
 		if i%12 >= 6 {
 			use["heavy"] = 8
 		}
-		headroom := headroomOf(swing(seconds)+0.025*use["heavy"]) * (1 + 0.03*rng.NormFloat64())
+		headroom := headroomOf(ownLoad(seconds)+0.025*use["heavy"]) * (1 + 0.03*rng.NormFloat64())
 		if i > 10 {
 			miss := math.Abs(tr.Expect(halfSecond, use, prior) - headroom)
 			sum, worst = sum+miss, math.Max(worst, miss)
@@ -40,17 +40,17 @@
 		tr.Read(start.Add(time.Duration(seconds*float64(time.Second))), headroom, use, prior)
 	}
 	if worst > 0.6 {
-		t.Errorf("one reading is missed by %.2f of headroom", worst)
+		t.Errorf("the largest prediction error is %.2f of headroom", worst)
 	}
 	if mean := sum / float64(total); mean > 0.2 {
-		t.Errorf("readings are missed by %.2f of headroom on average", mean)
+		t.Errorf("the mean prediction error is %.2f of headroom", mean)
 	}
 }
 
-// What a render takes goes up and down within seconds. While one takes twice what is known
-// of its image the tracker must expect that here and blame the render for a part of it, and
-// it returns to what is known.
-func TestTrackerSeesASpurt(t *testing.T) {
+// The pressure of a run varies within seconds. While a run takes twice the learned pressure, the
+// tracker must predict this on its worker and attribute a part of it to the run; afterwards the
+// pressure must return to the learned value.
+func TestTrackerFollowsBurst(t *testing.T) {
 	var tr Tracker
 	start, prior, use := time.Unix(0, 0), known(0.1), map[string]float64{"heavy": 8}
 	at := start
@@ -67,38 +67,39 @@
 	beside := tr.Expect(halfSecond, use, prior)
 	alone := tr.Expect(halfSecond, map[string]float64{"heavy": 0}, prior)
 	if beside > 1.3 {
-		t.Errorf("in the spurt %.2f of headroom are expected", beside)
+		t.Errorf("during the burst a headroom of %.2f is expected", beside)
 	}
 	if alone-beside < 8*0.105 {
-		t.Errorf("without the render %.2f more are expected", alone-beside)
+		t.Errorf("without the filling task %.2f more headroom is expected", alone-beside)
 	}
 	use = map[string]float64{"heavy": 0}
 	for range 12 {
 		read(2.8)
 	}
 	if p, _ := tr.Pressure("heavy"); math.Abs(p-0.1) > 0.03 {
-		t.Errorf("long after it is taken for %.3f", p)
+		t.Errorf("long after the burst the pressure is %.3f", p)
 	}
 }
 
-// An image that left and one that never came say nothing of the state.
-func TestTrackerForgetsWhatLeft(t *testing.T) {
+// An image that is no longer in use must not affect the state; it counts with its learned pressure
+// again.
+func TestTrackerDropsAbsentImages(t *testing.T) {
 	var tr Tracker
 	prior := known(0.1)
 	tr.Read(time.Unix(0, 0), 2, map[string]float64{"heavy": 8}, prior)
 	tr.Read(time.Unix(1, 0), 2.8, map[string]float64{}, prior)
 	if _, ok := tr.Pressure("heavy"); ok {
-		t.Error("it is still followed")
+		t.Error("the image is still tracked")
 	}
 	mean := tr.Expect(0, map[string]float64{"heavy": 8}, prior)
 	if alone := tr.Expect(0, nil, prior); math.Abs(alone-mean-0.8) > 0.01 {
-		t.Errorf("beside it %.2f is expected, alone %.2f", mean, alone)
+		t.Errorf("expected headroom is %.2f beside the image and %.2f alone", mean, alone)
 	}
 }
 
-// Readings of any kind, in any order, with images that come and go, never make the state
-// anything but finite, nor a variance negative: the pace is chosen by them.
-func TestTrackerStaysSound(t *testing.T) {
+// Readings of any kind, in any order, with images that come and go, must keep the state finite and
+// the variances non-negative, since the pace of runs is chosen by them.
+func TestTrackerStateStaysFinite(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(1)
 	properties := gopter.NewProperties(params)
 	properties.Property("finite", prop.ForAll(func(steps []float64) bool {
@@ -129,8 +130,8 @@
 	properties.TestingRun(t)
 }
 
-// A render that nobody has seen beside this watcher is expected to take more than one that
-// was seen to take as much on average: at its start nothing else tells.
+// An image never observed beside the served image must be expected to take more than one observed
+// to take as much on average: nothing else is known when it begins.
 func TestAnUnseenImageIsExpectedToTakeMore(t *testing.T) {
 	var tr Tracker
 	use := map[string]float64{"fresh": 8}
@@ -138,6 +139,6 @@
 	unseen := tr.Expect(0, use, func(string) Estimate { return Unseen() })
 	seen := tr.Expect(0, use, func(string) Estimate { return Estimate{Mean: Unseen().Mean, Var: Unseen().Var, Seen: 3} })
 	if unseen > seen-8*0.05 {
-		t.Errorf("beside an unseen one %.2f is expected, beside a seen one %.2f", unseen, seen)
+		t.Errorf("expected headroom is %.2f beside an unobserved image and %.2f beside an observed one", unseen, seen)
 	}
 }
