--- a/routing/table.go
+++ b/routing/table.go
@@ -1,5 +1,5 @@
-// Package routing chooses the upstream for a request and decides whether a
-// failed one may be sent again. Table and Budget are pure: the time is passed.
+// Package routing chooses the upstream for a request and decides whether a failed request may be
+// retried. Table and Budget do no I/O and are passed the time; neither is safe for concurrent use.
 package routing
 
 import (
@@ -12,35 +12,35 @@
 	"github.com/waxwinghaven/waxwinghaven/membership"
 )
 
-// Tuning of the ejection of agents that fail.
+// Parameters of the temporary exclusion of failing agents.
 const (
-	ejectAfter = 3 // failures in a row
+	ejectAfter = 3 // consecutive failures
 	minEject   = 500 * time.Millisecond
 	maxEject   = 15 * time.Second
-	// farPenalty is added to the load of agents in other data centres, in
-	// slots: the own one is left only when it is nearly full.
-	farPenalty = 1.0
+	// remotePenalty is added to the load of agents in other data centres, where 1 is an agent
+	// with all slots in use: requests leave the own data centre only when it is nearly full.
+	remotePenalty = 1.0
 )
 
-// Route is a service that a request was found to be for.
+// Route is the service that a request is for.
 type Route struct {
 	Market  string
 	Service market.Service
 	Preset  market.Preset
 }
 
-// agent is what an entry knows of one agent. Free is a hint from its last
-// answer, never a limit: the agent itself guards the slots.
+// agent is what an entry knows of one agent. free is a hint from the agent's last answer and never
+// a limit: the agent itself guards its slots.
 type agent struct {
-	member   *membership.Member
-	inFlight int
-	free     int
-	failures int
-	ejected  time.Time // not chosen before
-	penalty  time.Duration
+	member       *membership.Member
+	inFlight     int
+	free         int
+	failures     int
+	ejectedUntil time.Time // not chosen before this time
+	ejection     time.Duration
 }
 
-// Table is an entry's copy of the configuration and the members.
+// Table is an entry's copy of the configuration and of the members.
 type Table struct {
 	dataCentre string
 	revision   uint64
@@ -51,20 +51,20 @@
 	byService  map[string][]*agent
 }
 
-// NewTable returns an empty table for an entry in a data centre.
+// NewTable returns an empty table for an entry in this data centre.
 func NewTable(dataCentre string) *Table {
 	return &Table{dataCentre: dataCentre, markets: make(map[string]*market.View), agents: make(map[string]*agent), byService: make(map[string][]*agent)}
 }
 
-// Revision returns that of the configuration in force here.
+// Revision returns the newest revision of the configuration received.
 func (t *Table) Revision() uint64 { return t.revision }
 
 // Index returns the log index up to which the members are known.
 func (t *Table) Index() uint64 { return t.index }
 
-// Update takes in news. What is older than what is known is ignored, market by
-// market and member by member, whichever replica sent it and in whatever order:
-// an accepted change never reverts.
+// Update applies changes of markets and members. Anything older than what is known is ignored, by
+// market and by member, whichever replica sends it and in whatever order, so that an accepted
+// change is never reverted.
 func (t *Table) Update(revision, index uint64, markets []*market.View, members []*membership.Member) {
 	for _, v := range markets {
 		if old := t.markets[v.Market.Name]; old == nil || old.Revision < v.Revision {
@@ -90,13 +90,13 @@
 		t.agents[m.Agent] = &agent{member: m, free: m.Slots}
 	case a.member.Revision < m.Revision:
 		if a.member.Phase != membership.Up && m.Phase == membership.Up {
-			a.failures, a.penalty, a.ejected = 0, 0, time.Time{}
+			a.failures, a.ejection, a.ejectedUntil = 0, 0, time.Time{}
 		}
 		a.member = m
 	}
 }
 
-// buildRoutes sorts the services so that the most specific one is met first.
+// buildRoutes sorts the services by decreasing specificity.
 func (t *Table) buildRoutes() {
 	t.routes = nil
 	for _, v := range t.markets {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Find returns the service for a host and path.
+// Find returns the most specific service for a host and path.
 func (t *Table) Find(host, path string) (Route, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -136,15 +136,15 @@
 		if r.Service.Host != "" && !strings.EqualFold(r.Service.Host, host) {
 			continue
 		}
-		if underPrefix(path, r.Service.PathPrefix) {
+		if matchesPrefix(path, r.Service.PathPrefix) {
 			return r, true
 		}
 	}
 	return Route{}, false
 }
 
-// underPrefix matches whole path segments: /vault covers /vault/1, not /vaults.
-func underPrefix(path, prefix string) bool {
+// matchesPrefix compares whole path segments: /vault covers /vault/1, but not /vaults.
+func matchesPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
@@ -157,25 +157,25 @@
 	Address string
 }
 
-// Pick chooses the less loaded of two agents taken at random, which keeps load
-// even without the entries talking to each other. tried are left out.
+// Pick chooses the less loaded of two agents drawn at random, which balances load although entries
+// do not coordinate. Agents in tried are left out.
 func (t *Table) Pick(r Route, tried []string, now time.Time, rng *rand.Rand) (Choice, bool) {
 	list := t.byService[r.Market+"/"+r.Service.Name]
-	first := t.draw(list, tried, now, rng)
+	first := t.pickRandom(list, tried, now, rng)
 	if first == nil {
 		return Choice{}, false
 	}
 	best := first
-	if second := t.draw(list, tried, now, rng); second != nil && t.load(second) < t.load(first) {
+	if second := t.pickRandom(list, tried, now, rng); second != nil && t.load(second) < t.load(first) {
 		best = second
 	}
 	best.inFlight++
 	return Choice{best.member.Agent, best.member.Address}, true
 }
 
-// draw takes one usable agent at random. When all are ejected it takes one of
-// those: a wrong suspicion of everybody must not refuse everything.
-func (t *Table) draw(list []*agent, tried []string, now time.Time, rng *rand.Rand) *agent {
+// pickRandom returns a random agent that is not excluded. If all are, it returns an excluded one:
+// suspecting all agents wrongly must not lead to refusing all requests.
+func (t *Table) pickRandom(list []*agent, tried []string, now time.Time, rng *rand.Rand) *agent {
 	if len(list) == 0 {
 		return nil
 	}
@@ -186,7 +186,7 @@
 		if contains(tried, a.member.Agent) {
 			continue
 		}
-		if now.Before(a.ejected) {
+		if now.Before(a.ejectedUntil) {
 			fallback = a
 			continue
 		}
@@ -212,20 +212,20 @@
 	}
 	load := busy / slots
 	if a.member.DataCentre != t.dataCentre {
-		load += farPenalty
+		load += remotePenalty
 	}
 	return load
 }
 
-// Report is what became of a request at an agent.
+// Report is the outcome of a request at an agent.
 type Report struct {
-	Free   int  // slots free afterwards, -1 when not told
-	Failed bool // the agent or its upstream did not do its work
-	// Unreached tells that the agent could not even be connected to.
+	Free   int  // free slots afterwards, -1 if unknown
+	Failed bool // the agent or its upstream failed to serve the request
+	// Unreached is set if no connection to the agent could be made.
 	Unreached bool
 }
 
-// Done takes in the report of a choice.
+// Done records the outcome of a request at a chosen agent.
 func (t *Table) Done(c Choice, r Report, now time.Time) {
 	a := t.agents[c.Agent]
 	if a == nil {
@@ -236,33 +236,33 @@
 		a.free = r.Free
 	}
 	if !r.Failed && !r.Unreached {
-		a.failures, a.penalty = 0, 0
+		a.failures, a.ejection = 0, 0
 		return
 	}
 	a.failures++
 	if r.Unreached || a.failures >= ejectAfter {
-		a.penalty = min(max(a.penalty*2, minEject), maxEject)
-		a.ejected = now.Add(a.penalty)
+		a.ejection = min(max(a.ejection*2, minEject), maxEject)
+		a.ejectedUntil = now.Add(a.ejection)
 	}
 }
 
-// Budget bounds retries to a part of the successes, so that a failing service
-// gets a tenth more load from them and not a multiple.
+// Budget bounds retries to a tenth of the successes, so that retries add at most that much load to
+// a failing service instead of multiplying it.
 type Budget struct{ tokens float64 }
 
-// Tuning of the budget.
+// Parameters of the budget, in retries.
 const (
-	budgetPart = 0.1
-	budgetMax  = 20
+	budgetRatio = 0.1
+	maxBudget   = 20
 )
 
-// NewBudget returns a budget that allows a few retries at once.
-func NewBudget() *Budget { return &Budget{tokens: budgetMax / 2} }
+// NewBudget returns a budget with half of its maximum available.
+func NewBudget() *Budget { return &Budget{tokens: maxBudget / 2} }
 
-// Success earns a part of a retry.
-func (b *Budget) Success() { b.tokens = min(b.tokens+budgetPart, budgetMax) }
+// Success adds the share of a retry that one success allows.
+func (b *Budget) Success() { b.tokens = min(b.tokens+budgetRatio, maxBudget) }
 
-// Spend takes one retry, if there is one.
+// Spend takes one retry from the budget and returns false if there is none.
 func (b *Budget) Spend() bool {
 	if b.tokens < 1 {
 		return false
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -24,22 +24,23 @@
 
 var now = time.Unix(1000, 0)
 
-// An entry asks one replica, then another that lags. Neither its configuration
-// nor its members ever go back.
-func TestNewsNeverGoBack(t *testing.T) {
+// An entry asks one replica and then another one that lags. Neither its configuration nor its
+// members may be replaced by older ones.
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	tb, r := table(member("a", "dc1", 5, membership.Leaving))
 	tb.Update(9, 9, []*market.View{{Market: market.Market{Name: "m"}, Revision: 9, InForce: "peak"}}, nil)
 	tb.Update(3, 3, []*market.View{{Market: market.Market{Name: "m"}, Revision: 3, InForce: "night"}}, []*membership.Member{member("a", "dc1", 4, membership.Up)})
 	if tb.Revision() != 9 || tb.Index() != 9 || tb.markets["m"].InForce != "peak" {
-		t.Fatalf("went back to %d/%d, %s", tb.Revision(), tb.Index(), tb.markets["m"].InForce)
+		t.Fatalf("replaced by an older state: revision %d, index %d, preset %s", tb.Revision(), tb.Index(), tb.markets["m"].InForce)
 	}
 	if _, ok := tb.Pick(r, nil, now, rand.New(rand.NewPCG(1, 1))); ok {
-		t.Fatal("a leaving upstream came back by a stale report")
+		t.Fatal("a leaving upstream was picked after a stale update")
 	}
 }
 
-// An operator takes the entry's own data centre out of service. Requests go to the other,
-// however far; with both out none is sent; and they come back by the news alone.
+// An operator takes the entry's own data centre out of service. Requests must go to the other one
+// although it is remote. With both out of service none is sent, and an update alone brings requests
+// back.
 func TestRequestsAvoidADataCentreOutOfService(t *testing.T) {
 	near, far := member("a", "dc1", 1, membership.Up), member("b", "dc2", 1, membership.Up)
 	tb, r := table(near, far)
@@ -63,12 +64,12 @@
 	}
 	change(near, false)
 	if c, ok := tb.Pick(r, nil, now, rng); !ok || c.Agent != "a" {
-		t.Errorf("once it is back %+v was picked", c)
+		t.Errorf("after the return to service %+v was picked", c)
 	}
 }
 
-// An agent that cannot be reached is avoided at once, one that fails after three
-// times, both tried again later; when all fail, requests are still tried.
+// An agent that cannot be reached must be excluded immediately, and one that fails after three
+// failures; both are tried again later. When all are excluded, requests are still sent.
 func TestFailingAgentsAreAvoided(t *testing.T) {
 	tb, r := table(member("a", "dc1", 1, membership.Up), member("b", "dc1", 1, membership.Up))
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -84,7 +85,7 @@
 		tb.Done(Choice{Agent: "b"}, Report{Free: 8, Failed: true}, now)
 	}
 	if _, ok := tb.Pick(r, nil, now, rng); !ok {
-		t.Fatal("nothing was tried when all were suspected")
+		t.Fatal("no agent was picked when all were excluded")
 	}
 	seen := map[string]bool{}
 	for range 40 {
@@ -93,11 +94,11 @@
 		tb.Done(c, Report{Free: 8}, now)
 	}
 	if !seen["a"] || !seen["b"] {
-		t.Fatalf("not tried again: %v", seen)
+		t.Fatalf("picked after the exclusion: %v", seen)
 	}
 }
 
-// Requests stay in the entry's own data centre until its agents are nearly full.
+// Requests must stay in the entry's own data centre until its agents are nearly full.
 func TestOwnDataCentreFirst(t *testing.T) {
 	tb, r := table(member("near", "dc1", 1, membership.Up), member("far", "dc2", 1, membership.Up))
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -111,7 +112,7 @@
 	}
 }
 
-// Retries are at most a tenth of the successes, after a small stock is spent.
+// Retries must be at most a tenth of the successes once the initial budget is spent.
 func TestBudgetBoundsRetries(t *testing.T) {
 	b := NewBudget()
 	spent := 0
@@ -128,7 +129,7 @@
 	}
 }
 
-// Paths match whole segments, the most specific service first.
+// Paths match whole segments, and the most specific service is chosen.
 func TestMostSpecificServiceIsFound(t *testing.T) {
 	tb := NewTable("dc1")
 	svc := map[string]*market.Service{}
