--- a/queues/queues.go
+++ b/queues/queues.go
@@ -1,6 +1,6 @@
-// Package queues is the operator's configuration of the queues that callers
-// hand jobs to. A configuration is one whole version; the highest one committed
-// is in force, and nothing ever goes back to a lower one.
+// Package queues holds the operator's configuration of the queues to which callers submit jobs. A
+// configuration is one complete version. The highest committed version is in force; a lower one
+// never replaces it.
 package queues
 
 import (
@@ -13,57 +13,56 @@
 // Queue takes callers' jobs for one service.
 type Queue struct {
 	Name string `msgpack:"n" json:"name"`
-	// Host and Prefix select the queue: the longest prefix wins.
+	// Host and Prefix select the queue for a request. The longest matching prefix wins.
 	Host    string `msgpack:"h" json:"host"`
 	Prefix  string `msgpack:"p" json:"prefix"`
 	Service string `msgpack:"s" json:"service"`
 	// TimeoutMS bounds a caller's request, in milliseconds.
 	TimeoutMS int64 `msgpack:"t" json:"timeout_ms"`
-	// TargetMS and Slack give a job's objective: Slack times its longest
-	// chain of work, and TargetMS more.
+	// TargetMS and Slack define a job's latency objective: Slack times its longest chain of
+	// work, plus TargetMS.
 	TargetMS int64   `msgpack:"a" json:"target_ms"`
 	Slack    float64 `msgpack:"k" json:"slack"`
-	// Priority orders queues, 0 first.
+	// Priority orders the queues; 0 is served first.
 	Priority int `msgpack:"r" json:"priority"`
-	// MaxAttempts is how often a task may end as failed.
+	// MaxAttempts is the number of failed attempts after which a task has failed.
 	MaxAttempts int `msgpack:"m" json:"max_attempts"`
 	// Advice is set if only the advisor knows which workers may run a step.
 	Advice *Advice `msgpack:"v,omitempty" json:"advice,omitempty"`
 }
 
-// Advice is how the advisor of a queue answers, in milliseconds.
+// Advice describes how the advisor of a queue answers.
 type Advice struct {
-	// DecisionMS is how long an answer takes, and PerWorkerMS how much longer for
-	// each worker that is asked about.
+	// DecisionMS is the time that an answer takes, and PerWorkerMS the additional time for each
+	// worker that the question names, both in milliseconds.
 	DecisionMS  float64 `msgpack:"d" json:"decision_ms"`
 	PerWorkerMS float64 `msgpack:"w" json:"per_worker_ms"`
-	// ValidMS is how long a ticket holds.
+	// ValidMS is the validity of a ticket, in milliseconds.
 	ValidMS int64 `msgpack:"v" json:"valid_ms"`
 }
 
-// TookMS is how long an answer about a number of workers takes.
+// TookMS returns the time that an answer about a number of workers takes, in milliseconds.
 func (a *Advice) TookMS(workers int) float64 { return a.DecisionMS + float64(workers)*a.PerWorkerMS }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string `msgpack:"n" json:"name"`
-	// Guards says that the service's workers reject what does not fit.
+	// Guards is set if the service's workers reject tasks that do not fit.
 	Guards bool `msgpack:"g" json:"guards"`
-	// Standby says that the pool's machines are off and not paid for.
+	// Standby is set if the pool's machines are switched off and incur no cost.
 	Standby bool `msgpack:"b,omitempty" json:"standby,omitempty"`
 }
 
-// Config is one version of the configuration. It is never changed in place.
+// Config is one version of the configuration. It is immutable.
 type Config struct {
 	Version  uint64    `msgpack:"v" json:"version"`
 	Queues   []Queue   `msgpack:"q" json:"queues"`
 	Services []Service `msgpack:"s" json:"services"`
-	// Source is the document as the operator sent it, which is what a
-	// reader gets back.
+	// Source is the document as the operator sent it. Readers get it back unchanged.
 	Source []byte `msgpack:"d" json:"-"`
 }
 
-// Validate reports what makes a configuration unusable.
+// Validate returns an error if the configuration is unusable.
 func (c *Config) Validate() error {
 	if c.Version == 0 {
 		return invalid("give the configuration a version of 1 or more", "the version is missing")
@@ -99,7 +98,7 @@
 	case !strings.HasPrefix(q.Prefix, "/"):
 		return invalid("begin the prefix with a slash", "queue %q has the prefix %q", q.Name, q.Prefix)
 	case q.Advice != nil && (q.Advice.DecisionMS < 0 || q.Advice.PerWorkerMS < 0 || q.Advice.ValidMS <= 0):
-		return invalid("give the advice times of 0 ms or more, and a validity above", "queue %q has the advice %+v", q.Name, *q.Advice)
+		return invalid("give the advice times of 0 ms or more, and a validity above 0 ms", "queue %q has the advice %+v", q.Name, *q.Advice)
 	}
 	return nil
 }
@@ -108,7 +107,8 @@
 	return refusal.New(refusal.Invalid, remedy, format, args...)
 }
 
-// Match returns the queue for a host and path, and the rest of the path.
+// Match returns the queue for a host and path, and the rest of the path after the queue's prefix.
+// The queue is nil if none matches.
 func (c *Config) Match(host, path string) (q *Queue, rest string) {
 	for i := range c.Queues {
 		k := &c.Queues[i]
@@ -122,12 +122,12 @@
 	return q, path[len(q.Prefix):]
 }
 
-// Advised reports whether any queue needs an advisor.
+// Advised reports whether any queue needs the advisor.
 func (c *Config) Advised() bool {
 	return slices.ContainsFunc(c.Queues, func(q Queue) bool { return q.Advice != nil })
 }
 
-// At returns the queue at exactly this host and prefix, nil for none.
+// At returns the queue with exactly this host and prefix, or nil.
 func (c *Config) At(host, prefix string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Host == host && c.Queues[i].Prefix == prefix {
@@ -137,13 +137,13 @@
 	return nil
 }
 
-// State is the configuration in force.
+// State is the replicated state: the configuration in force.
 type State struct {
 	Config Config `msgpack:"c"`
 }
 
-// Knows reports whether the configuration names a service. Before the first one every
-// name may become one.
+// Knows reports whether the configuration lists a service. Before the first configuration it
+// returns true for every name, since any of them may still be listed.
 func (s *State) Knows(service string) bool {
 	if s.Config.Version == 0 {
 		return true
@@ -156,9 +156,9 @@
 	return false
 }
 
-// Apply puts a configuration in force if its version is higher than the one
-// held. It is idempotent: a version that is not higher changes nothing,
-// whatever its content, so a late copy can never undo a newer change.
+// Apply puts a configuration in force if its version is higher than the present one. It is
+// idempotent: any other version changes nothing, whatever its content, so that a delayed copy
+// cannot undo a newer change.
 func (s *State) Apply(c Config) (changed bool) {
 	if c.Version <= s.Config.Version {
 		return false
--- a/queues/queues_test.go
+++ b/queues/queues_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func valid() Config {
+func validConfig() Config {
 	return Config{Version: 3, Services: []Service{{Name: "vault"}, {Name: "other"}}, Queues: []Queue{
 		{Name: "all", Host: "a.example", Prefix: "/", Service: "vault", TimeoutMS: 3000},
 		{Name: "renders", Host: "a.example", Prefix: "/renders/", Service: "other", TimeoutMS: 3000},
@@ -18,20 +18,20 @@
 		change func(*Config)
 		want   string // part of the error, "" for none
 	}{
-		{"as it is", func(*Config) {}, ""},
+		{"valid configuration", func(*Config) {}, ""},
 		{"no version", func(c *Config) { c.Version = 0 }, "version"},
 		{"unknown service", func(c *Config) { c.Queues[1].Service = "nowhere" }, "unknown service"},
 		{"time-out of 0", func(c *Config) { c.Queues[0].TimeoutMS = 0 }, "time-out"},
-		{"same place", func(c *Config) { c.Queues[1].Prefix = "/" }, "share"},
+		{"same host and prefix", func(c *Config) { c.Queues[1].Prefix = "/" }, "share"},
 		{"same prefix on another host", func(c *Config) { c.Queues[1].Prefix, c.Queues[1].Host = "/", "b.example" }, ""},
 		{"no slash", func(c *Config) { c.Queues[0].Prefix = "x" }, "prefix"},
 		{"advice", func(c *Config) { c.Queues[0].Advice = &Advice{DecisionMS: 50, PerWorkerMS: 1, ValidMS: 2000} }, ""},
-		{"tickets that never hold", func(c *Config) { c.Queues[0].Advice = &Advice{DecisionMS: 50} }, "advice"},
-		{"advice before it is asked for", func(c *Config) { c.Queues[0].Advice = &Advice{DecisionMS: -1, ValidMS: 1} }, "advice"},
+		{"ticket validity of 0", func(c *Config) { c.Queues[0].Advice = &Advice{DecisionMS: 50} }, "advice"},
+		{"negative decision time", func(c *Config) { c.Queues[0].Advice = &Advice{DecisionMS: -1, ValidMS: 1} }, "advice"},
 		{"service twice", func(c *Config) { c.Services[1].Name = "vault" }, "listed twice"},
 	}
 	for _, c := range cases {
-		cfg := valid()
+		cfg := validConfig()
 		c.change(&cfg)
 		err := cfg.Validate()
 		if (err == nil) != (c.want == "") || (err != nil && !strings.Contains(err.Error(), c.want)) {
@@ -41,7 +41,7 @@
 }
 
 func TestMatchTakesTheLongestPrefix(t *testing.T) {
-	c := valid()
+	c := validConfig()
 	if q, rest := c.Match("a.example", "/renders/0123"); q == nil || q.Name != "renders" || rest != "0123" {
 		t.Errorf("got %v %q", q, rest)
 	}
@@ -53,13 +53,12 @@
 	}
 }
 
-// Two operators send changes at the same time, and copies of older ones come
-// late. The highest version must stay: whatever else were put in force would
-// undo a change that was acknowledged.
+// Two operators send changes at the same time, and copies of older ones arrive late. The highest
+// version must stay in force: any other one would undo an acknowledged change.
 func TestOnlyAHigherVersionChangesAnything(t *testing.T) {
 	var s State
 	put := func(version uint64, source string) bool {
-		c := valid()
+		c := validConfig()
 		c.Version, c.Source = version, []byte(source)
 		return s.Apply(c)
 	}
