--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -1,6 +1,6 @@
-// Package datacentre holds which data centres operators have taken out of service, so
-// that they can be worked on. State is a pure state machine under the quorum's log: an
-// order is acknowledged after its commit only, and outlives every leader.
+// Package datacentre records which data centres operators have taken out of service for maintenance.
+// State is a pure state machine under the quorum's log: an order is acknowledged only after its
+// commit, and survives changes of the leader.
 package datacentre
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// Phase is how far a data centre is in service.
+// Phase is the service state of a data centre.
 type Phase uint8
 
 // The phases.
 const (
 	InService Phase = iota
-	// Cordoned: nothing new begins there. What runs goes on until it ends.
+	// Cordoned: nothing new is started there. What runs continues until it ends.
 	Cordoned
-	// Draining: cordoned, and standing tasks move to other data centres, as far as
-	// there is room and their callers can spare them.
+	// Draining: cordoned, and standing tasks move to other data centres as far as free capacity
+	// and their callers' limits on unavailable tasks allow.
 	Draining
 )
 
@@ -34,7 +34,7 @@
 	return phaseNames[p]
 }
 
-// ParsePhase reads a phase's name.
+// ParsePhase returns the phase with this name.
 func ParsePhase(name string) (Phase, error) {
 	if i := slices.Index(phaseNames[:], name); i >= 0 {
 		return Phase(i), nil
@@ -42,62 +42,62 @@
 	return 0, refusal.New(refusal.Invalid, "use in-service, cordoned or draining", "%q is not a phase of a data centre", name)
 }
 
-// Order asks for a data centre's phase.
+// Order requests a phase for a data centre.
 type Order struct {
 	Name  string `msgpack:"n"`
 	Phase Phase  `msgpack:"p"`
-	// ID names the order: sent again under it, it is answered as the first time and
-	// takes no effect twice. It is "" for an order whose sender gives it none.
+	// ID identifies the order. An order sent again under its ID gets the same answer and takes
+	// effect only once. It is "" if the sender gives none.
 	ID string `msgpack:"i,omitempty"`
-	// Base is the revision of the data centre that the order builds on. One that has
-	// been overtaken by another is refused, however late it comes.
+	// Base is the revision of the data centre that the order is based on. An order whose base
+	// has been superseded is refused, however late it arrives.
 	Base uint64 `msgpack:"b"`
-	// AtMS is when the leader took the order, in milliseconds since 1970. It is only
-	// shown.
+	// AtMS is the time at which the leader received the order, in milliseconds since 1970. It is
+	// only displayed.
 	AtMS int64 `msgpack:"a"`
 }
 
-// Answer is what an order did.
+// Answer is the result of an order.
 type Answer struct {
 	Revision uint64 `msgpack:"r" json:"revision"`
-	// Repeated says that it had taken effect before.
+	// Repeated is set if the order had already taken effect.
 	Repeated bool `msgpack:"p,omitempty" json:"repeated,omitempty"`
 }
 
-// taken is an order that is remembered.
-type taken struct {
+// appliedOrder is an order that has taken effect, kept to recognise repetitions.
+type appliedOrder struct {
 	ID       string `msgpack:"i"`
 	Phase    Phase  `msgpack:"p"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// Centre is one data centre that some order was about.
+// Centre is one data centre that has received an order.
 type Centre struct {
 	Phase Phase `msgpack:"p"`
-	// Revision is the log index of the newest order. It rises with each, also with one
-	// that leaves the phase as it is: an older order of the other kind that is still on
-	// its way was meant for before it.
+	// Revision is the log index of the newest order. It rises with every order, even one that
+	// leaves the phase unchanged: an older order for another phase that arrives later was meant
+	// to take effect before it.
 	Revision uint64 `msgpack:"r"`
-	// Order names the order that brought the phase, "" if it had no name, and SinceMS is
-	// when that was.
-	Order   string  `msgpack:"o,omitempty"`
-	SinceMS int64   `msgpack:"s,omitempty"`
-	Taken   []taken `msgpack:"t,omitempty"` // the newest last
+	// Order is the ID of the order that set the phase, "" if it had none, and SinceMS the time
+	// of that order, in milliseconds since 1970.
+	Order   string         `msgpack:"o,omitempty"`
+	SinceMS int64          `msgpack:"s,omitempty"`
+	Taken   []appliedOrder `msgpack:"t,omitempty"` // newest last
 }
 
-// maxTaken bounds the orders that are remembered for each data centre. An older one that
-// is sent again fails on its base.
-const maxTaken = 64
+// maxApplied bounds the orders kept per data centre. An older one that is sent again is refused
+// because of its base.
+const maxApplied = 64
 
-// State is all data centres that orders were about, by name.
+// State is the service state of all data centres that have received orders, by name.
 type State struct {
 	Centres map[string]*Centre `msgpack:"c"`
 }
 
-// NewState returns the state in which all are in service.
+// NewState returns the state in which all data centres are in service.
 func NewState() *State { return &State{Centres: make(map[string]*Centre)} }
 
-// Of returns what is known of a data centre.
+// Of returns a data centre's service state. One without orders is in service.
 func (s *State) Of(name string) Centre {
 	if s != nil {
 		if c := s.Centres[name]; c != nil {
@@ -107,13 +107,13 @@
 	return Centre{}
 }
 
-// Cordoned reports whether nothing new may begin in a data centre.
+// Cordoned reports whether nothing new may be started in a data centre.
 func (s *State) Cordoned(name string) bool { return s.Of(name).Phase != InService }
 
-// Draining reports whether standing tasks are to leave a data centre.
+// Draining reports whether standing tasks have to leave a data centre.
 func (s *State) Draining(name string) bool { return s.Of(name).Phase == Draining }
 
-// Out returns the names of the data centres that are out of service, in order.
+// Out returns the names of the data centres that are out of service, in alphabetical order.
 func (s *State) Out() []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(s.Centres)) {
@@ -124,12 +124,13 @@
 	return out
 }
 
-// Apply makes an order take effect.
+// Apply executes an order committed at a log index. It refuses an order whose base has been
+// superseded, and one whose ID was used for a different order.
 func (s *State) Apply(o Order, index uint64) (Answer, error) {
 	c := s.Of(o.Name)
 	if o.ID != "" {
-		if i := slices.IndexFunc(c.Taken, func(t taken) bool { return t.ID == o.ID }); i >= 0 {
-			return repeated(c.Taken[i], o)
+		if i := slices.IndexFunc(c.Taken, func(t appliedOrder) bool { return t.ID == o.ID }); i >= 0 {
+			return answerRepeated(c.Taken[i], o)
 		}
 	}
 	switch {
@@ -142,27 +143,28 @@
 		e.Winner, e.Revision = c.Order, c.Revision
 		return Answer{}, e
 	}
-	s.Centres[o.Name] = c.after(o, index)
+	s.Centres[o.Name] = c.withOrder(o, index)
 	return Answer{Revision: index}, nil
 }
 
-// repeated answers an order that was taken before.
-func repeated(t taken, o Order) (Answer, error) {
+// answerRepeated answers an order whose ID has already been used.
+func answerRepeated(t appliedOrder, o Order) (Answer, error) {
 	if t.Phase != o.Phase {
 		return Answer{}, refusal.New(refusal.ChangeReused, "give every new order an id of its own", "order id %q was used for another order", o.ID)
 	}
 	return Answer{Revision: t.Revision, Repeated: true}, nil
 }
 
-// after returns what an order makes of a data centre. Readers may still hold the old one.
-func (c Centre) after(o Order, index uint64) *Centre {
+// withOrder returns the data centre after an order, as a copy, since readers may still hold the old
+// one.
+func (c Centre) withOrder(o Order, index uint64) *Centre {
 	if c.Phase != o.Phase || c.Revision == 0 {
 		c.Order, c.SinceMS = o.ID, o.AtMS
 	}
 	c.Phase, c.Revision = o.Phase, index
 	if o.ID != "" {
-		kept := c.Taken[max(0, len(c.Taken)+1-maxTaken):]
-		c.Taken = append(slices.Clone(kept), taken{ID: o.ID, Phase: o.Phase, Revision: index})
+		kept := c.Taken[max(0, len(c.Taken)+1-maxApplied):]
+		c.Taken = append(slices.Clone(kept), appliedOrder{ID: o.ID, Phase: o.Phase, Revision: index})
 	}
 	return &c
 }
--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -10,10 +10,9 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// An operator takes a data centre out and brings it back; the answer to the first order was
-// lost and a copy of it comes last, through another replica. It was read before the data
-// centre came back, and must not take it out again: nothing would start there any more, and
-// nobody asked for that.
+// An operator takes a data centre out of service and brings it back. The answer to the first order
+// is lost, and a copy of that order arrives last, through another replica. It must not take the
+// data centre out of service again: nothing would start there although no operator wants that.
 func TestOvertakenOrderChangesNothing(t *testing.T) {
 	s := NewState()
 	out, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned, ID: "o-1"}, 5)
@@ -34,27 +33,27 @@
 		t.Errorf("the first order sent again: %+v %v", again, err)
 	}
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: Draining, ID: "o-1", Base: 6}, 9); !refusal.Is(err, refusal.ChangeReused) {
-		t.Errorf("another order under a known id: %v", err)
+		t.Errorf("another order under a used id: %v", err)
 	}
 	if s.Cordoned("hall-a") {
 		t.Error("the data centre is out of service again")
 	}
 }
 
-// An order that leaves a data centre as it is was meant for a moment all the same: what was
-// read before it and comes after it is out of date.
+// An order that leaves the phase unchanged also raises the revision: an order that is based on the
+// revision before it is out of date.
 func TestOrderThatChangesNothingOvertakesToo(t *testing.T) {
 	s := NewState()
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: InService}, 3); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned}, 4); !refusal.Is(err, refusal.Conflict) {
-		t.Errorf("an order that was read before it: %v", err)
+		t.Errorf("an order based on the revision before it: %v", err)
 	}
 }
 
-// An order without a name is sent to several replicas until one answers. The copies that
-// come after the first has taken effect are answered alike.
+// An order without an ID is sent to several replicas until one answers. Copies that arrive after the
+// first one has taken effect must get the same answer.
 func TestCopiesOfAnOrderWithoutANameAreAcknowledged(t *testing.T) {
 	s := NewState()
 	for i := range 3 {
@@ -65,25 +64,25 @@
 	}
 }
 
-// What is remembered of orders is bounded, and what was forgotten takes no effect either.
+// The orders kept are bounded, and a repetition of one no longer kept must have no effect.
 func TestForgottenOrderFailsOnItsBase(t *testing.T) {
 	s := NewState()
-	for i := range 3 * maxTaken {
+	for i := range 3 * maxApplied {
 		o := Order{Name: "hall-a", Phase: Phase(i % 2), ID: fmt.Sprint(i), Base: uint64(i)}
 		if _, err := s.Apply(o, uint64(i+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.Of("hall-a").Taken); n != maxTaken {
-		t.Errorf("%d orders are remembered", n)
+	if n := len(s.Of("hall-a").Taken); n != maxApplied {
+		t.Errorf("%d orders are kept", n)
 	}
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned, ID: "0"}, 1000); !refusal.Is(err, refusal.Conflict) {
-		t.Errorf("a forgotten order: %v", err)
+		t.Errorf("an order that is no longer kept: %v", err)
 	}
 }
 
-// Orders of any kind, on any base, in any order: the phase is always that of the newest
-// order that was taken, and its revision never goes back.
+// Orders of any kind, on any base, in any sequence: the phase must be that of the newest applied
+// order, and the revision must never decrease.
 func TestPhaseIsThatOfTheNewestOrder(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(1)
 	properties := gopter.NewProperties(p)
