--- a/upkeep/state.go
+++ b/upkeep/state.go
@@ -9,20 +9,20 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// State is all waves, by number.
+// State holds all waves, by number.
 type State struct {
 	Waves map[uint64]*Running `msgpack:"w"`
 }
 
-// NewState returns the empty state.
+// NewState returns a state without waves.
 func NewState() *State { return &State{Waves: make(map[uint64]*Running)} }
 
-// maxWaves bounds the waves that are remembered; the lowest numbers that are over go
-// first.
+// maxWaves bounds the waves that are kept. Of the finished ones those with the lowest numbers are
+// dropped first.
 const maxWaves = 1000
 
-// ApplyStart takes a wave in. It is idempotent: the same wave sent again changes
-// nothing, another one under its number is refused.
+// ApplyStart adds a wave. It is idempotent: the same wave sent again changes nothing, and a
+// different one under the same number is refused.
 func (s *State) ApplyStart(w Wave, nowMS int64) error {
 	if old := s.Waves[w.Number]; old != nil {
 		if !reflect.DeepEqual(old.Wave, w) {
@@ -35,16 +35,16 @@
 		r.Machines = append(r.Machines, Progress{Machine: m, SinceMS: nowMS})
 	}
 	s.Waves[w.Number] = r
-	s.forget()
+	s.evictFinished()
 	return nil
 }
 
-func (s *State) forget() {
+func (s *State) evictFinished() {
 	for _, n := range s.numbers() {
 		if len(s.Waves) <= maxWaves {
 			return
 		}
-		if s.Waves[n].over() {
+		if s.Waves[n].finished() {
 			delete(s.Waves, n)
 		}
 	}
@@ -61,9 +61,10 @@
 	AtMS    int64  `msgpack:"a"`
 }
 
-// ApplyMarks takes marks over that still hold, and returns how many did. A phase never
-// goes back, but names another worker if the machine's was started anew; and no more
-// machines leave Waiting than the wave allows: two leaders may each have chosen one.
+// ApplyMarks applies the marks that are still valid and returns their number. A phase never goes
+// back, but a mark may name another worker for the present phase if the machine's worker has
+// restarted. No more machines leave Waiting than the wave allows, since two leaders may each have
+// chosen one.
 func (s *State) ApplyMarks(marks []Mark) (applied int) {
 	for _, m := range marks {
 		r := s.Waves[m.Wave]
@@ -74,7 +75,7 @@
 		if p == nil || m.Phase < p.Phase || (m.Phase == p.Phase && (m.Worker == "" || m.Worker == p.Worker)) {
 			continue
 		}
-		if p.Phase == Waiting && m.Phase < Back && r.out() >= r.Wave.MaxConcurrent {
+		if p.Phase == Waiting && m.Phase < Back && r.active() >= r.Wave.MaxConcurrent {
 			continue
 		}
 		p.Phase, p.SinceMS = m.Phase, m.AtMS
@@ -86,18 +87,18 @@
 	return applied
 }
 
-// Active reports whether any wave has something left to do.
+// Active reports whether any wave has not finished.
 func (s *State) Active() bool {
 	for _, r := range s.Waves {
-		if !r.over() {
+		if !r.finished() {
 			return true
 		}
 	}
 	return false
 }
 
-// Leaving returns the workers that get nothing new, since their machines are about to
-// go down.
+// Leaving returns the workers that get no new tasks because their machines are about to go down or
+// are down.
 func (s *State) Leaving() map[string]bool {
 	out := make(map[string]bool)
 	for _, r := range s.Waves {
@@ -110,14 +111,14 @@
 	return out
 }
 
-// Workers returns the workers that waves with something left to do know, the one that was
-// noted last at the end.
+// Workers returns the workers noted in unfinished waves, ordered by the time of their machines' last
+// marks.
 func (s *State) Workers() (out []string) {
 	var known []*Progress
 	for _, n := range s.numbers() {
 		r := s.Waves[n]
 		for i := range r.Machines {
-			if p := &r.Machines[i]; p.Worker != "" && !r.over() {
+			if p := &r.Machines[i]; p.Worker != "" && !r.finished() {
 				known = append(known, p)
 			}
 		}
@@ -129,7 +130,7 @@
 	return out
 }
 
-// TookDown reports whether a worker was, or is to be, ended for an upkeep.
+// TookDown reports whether a worker was stopped, or is about to be stopped, for an upkeep.
 func (s *State) TookDown(worker string) bool {
 	for _, r := range s.Waves {
 		for i := range r.Machines {
--- a/upkeep/types.go
+++ b/upkeep/types.go
@@ -1,8 +1,8 @@
-// Package upkeep is about the machines below the workers and the waves of upkeep that
-// operators ask for: each machine of a wave goes down once, within a time, at most so
-// many at once. State is a pure state machine under the quorum's log; Next is a pure
-// decision from a snapshot. What a machine is ordered to do is committed first, so a
-// leader that takes over knows what may have been carried out.
+// Package upkeep manages the upkeep of the machines below the workers. Operators request waves: each
+// machine of a wave goes down once, within a time limit, and at most a given number of machines is
+// down at a time. State is a pure state machine under the quorum's log, and Next decides from a
+// snapshot without side effects. An order to a machine is committed before it is sent, so that a
+// new leader knows which orders may have been carried out.
 package upkeep
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// Wave asks for the upkeep of machines.
+// Wave is an operator's request for the upkeep of machines.
 type Wave struct {
 	Number   uint64   `msgpack:"n" json:"number"`
 	Machines []string `msgpack:"m" json:"machines"`
-	// DurationMS is how long it may take.
+	// DurationMS is the time limit of the wave, in milliseconds.
 	DurationMS int64 `msgpack:"d" json:"duration_ms"`
-	// MaxConcurrent bounds the machines that are down for it at once.
+	// MaxConcurrent bounds the machines that are down for the wave at the same time.
 	MaxConcurrent int `msgpack:"c" json:"max_concurrent"`
 }
 
-// Bounds of one wave: more machines than any system of ours has.
+// Bounds of one wave. MaxMachines is more than any deployment has.
 const (
 	MaxMachines = 100_000
 	maxDuration = 30 * 24 * 3600 * 1000 // ms
 )
 
-// Validate reports what makes a wave unusable.
+// Validate returns an error if the wave is unusable.
 func (w *Wave) Validate() error {
 	bad := func(remedy, format string, args ...any) error {
 		return refusal.New(refusal.Invalid, remedy, format, args...)
@@ -39,7 +39,7 @@
 		return bad("let one machine or more be down at once", "the wave lets %d machines be down at once", w.MaxConcurrent)
 	}
 	if w.DurationMS < 0 || w.DurationMS > maxDuration {
-		return bad("give it a time of 0 to 30 days", "the wave has %d ms", w.DurationMS)
+		return bad("give it a time of 0 to 30 days", "the wave has the time limit %d ms", w.DurationMS)
 	}
 	seen := make(map[string]bool, len(w.Machines))
 	for _, m := range w.Machines {
@@ -51,16 +51,16 @@
 	return nil
 }
 
-// Phase is where a machine stands in its wave. It only rises.
+// Phase is the state of a machine in its wave. It never goes back.
 type Phase uint8
 
 // The phases.
 const (
 	Waiting  Phase = iota
-	Emptying       // its worker gets nothing new, and what can be moved is
-	Ordered        // the order may have been sent, and may be carried out at any time
+	Emptying       // its worker gets no new tasks, and tasks that can be moved are moved
+	Ordered        // the order may have been sent and may be carried out at any time
 	Down           // the platform has confirmed the order
-	Back           // a new worker has joined, or the machine is gone
+	Back           // a new worker has joined, or the machine no longer exists
 )
 
 var phaseNames = [...]string{"waiting", "emptying", "ordered", "down", "back"}
@@ -73,25 +73,25 @@
 	return phaseNames[p]
 }
 
-// Progress is one machine's part of a wave.
+// Progress is the state of one machine in a wave.
 type Progress struct {
 	Machine string `msgpack:"m"`
 	Phase   Phase  `msgpack:"p"`
-	// Worker is the life that is to end, known from Emptying on.
+	// Worker is the id of the worker that is to be stopped, known from Emptying on.
 	Worker string `msgpack:"w,omitempty"`
-	// SinceMS is when the phase began, by the median of many clocks, in
-	// milliseconds since 1970.
+	// SinceMS is the time of the last mark, at which the phase began or its worker was replaced,
+	// by the median of many clocks, in milliseconds since 1970.
 	SinceMS int64 `msgpack:"s"`
 }
 
-// Running is a wave with its progress.
+// Running is a wave with its progress. It is kept after the wave has finished.
 type Running struct {
 	Wave      Wave       `msgpack:"w"`
 	StartedMS int64      `msgpack:"s"`
 	Machines  []Progress `msgpack:"m"`
 }
 
-// Completed reports whether each machine has begun its upkeep.
+// Completed reports whether the upkeep of every machine has begun.
 func (r *Running) Completed() bool {
 	for i := range r.Machines {
 		if r.Machines[i].Phase < Down {
@@ -101,8 +101,8 @@
 	return true
 }
 
-// over reports whether nothing of the wave is left to do.
-func (r *Running) over() bool {
+// finished reports whether every machine of the wave is back.
+func (r *Running) finished() bool {
 	for i := range r.Machines {
 		if r.Machines[i].Phase < Back {
 			return false
@@ -111,9 +111,9 @@
 	return true
 }
 
-// out counts the machines that are down, may go down at any time, or are being emptied
-// for it.
-func (r *Running) out() int {
+// active returns the number of machines that are down, may go down at any time, or are being
+// emptied.
+func (r *Running) active() int {
 	n := 0
 	for i := range r.Machines {
 		if p := r.Machines[i].Phase; p > Waiting && p < Back {
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -10,21 +10,21 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// fleet is a platform with machines, and a leader's view of it.
+// fleet simulates a platform with machines, and a leader's view of it.
 type fleet struct {
-	t      *testing.T
-	state  *State
-	nowMS  int64
-	listed []Machine
-	back   map[string]int64 // when a machine that is down returns
-	lives  int
-	busy   map[string]bool // workers with something at work
-	bound  map[string]bool // workers that may not be ended
-	taken  map[string]int  // how often a machine went down
+	t         *testing.T
+	state     *State
+	nowMS     int64
+	listed    []Machine
+	returnsAt map[string]int64 // time at which a machine that is down returns, in ms
+	restarts  int
+	busy      map[string]bool // workers with running tasks
+	pinned    map[string]bool // workers that may not be stopped
+	downs     map[string]int  // number of times that a machine went down
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, state: NewState(), nowMS: 1_000_000, back: make(map[string]int64), busy: make(map[string]bool), bound: make(map[string]bool), taken: make(map[string]int)}
+	f := &fleet{t: t, state: NewState(), nowMS: 1_000_000, returnsAt: make(map[string]int64), busy: make(map[string]bool), pinned: make(map[string]bool), downs: make(map[string]int)}
 	for i := range n {
 		f.listed = append(f.listed, Machine{Name: fmt.Sprintf("m%d", i), Pool: "vault", Up: true, Worker: fmt.Sprintf("w%d", i)})
 	}
@@ -51,39 +51,39 @@
 func (f *fleet) input() Input {
 	return Input{State: f.state, Machines: f.listed, NowMS: f.nowMS, Upkeep: 2 * time.Second,
 		Empty:  func(w string) bool { return !f.busy[w] },
-		Spared: func(w string) bool { return !f.bound[w] }}
+		Spared: func(w string) bool { return !f.pinned[w] }}
 }
 
-// tick lets time pass and makes one decision. The platform carries an order out if
-// carried says so; the answer is heard if heard says so.
-func (f *fleet) tick(ms int64, carried, heard bool) Decision {
+// tick advances the time and makes one decision. The platform carries its orders out if executed is
+// set, and the leader receives the answers if answered is set.
+func (f *fleet) tick(ms int64, executed, answered bool) Decision {
 	f.nowMS += ms
 	for i := range f.listed {
 		m := &f.listed[i]
-		if at, down := f.back[m.Name]; down && f.nowMS >= at {
-			delete(f.back, m.Name)
-			f.lives++
-			m.Up, m.Worker = true, fmt.Sprintf("life-%d", f.lives)
+		if at, down := f.returnsAt[m.Name]; down && f.nowMS >= at {
+			delete(f.returnsAt, m.Name)
+			f.restarts++
+			m.Up, m.Worker = true, fmt.Sprintf("life-%d", f.restarts)
 		}
 	}
 	d := Next(f.input())
 	f.state.ApplyMarks(d.Marks)
 	for _, o := range d.Orders {
-		if !carried {
+		if !executed {
 			continue
 		}
 		phase := Down
 		if !f.carryOut(o) {
 			phase = Back
 		}
-		if heard {
+		if answered {
 			f.state.ApplyMarks([]Mark{{Wave: o.Wave, Machine: o.Machine, Phase: phase, AtMS: f.nowMS}})
 		}
 	}
 	return d
 }
 
-// carryOut takes a machine down, once, and reports whether there is one.
+// carryOut takes a machine down unless this was done before, and reports whether it exists.
 func (f *fleet) carryOut(o Order) (known bool) {
 	for i := range f.listed {
 		m := &f.listed[i]
@@ -92,44 +92,44 @@
 			continue
 		}
 		known = true
-		if f.taken[m.Name] > 0 {
-			continue // done already: the platform answers the same
+		if f.downs[m.Name] > 0 {
+			continue // already done; the platform gives the same answer
 		}
 		if m.Worker != p.Worker {
-			f.t.Errorf("%s went down with %s, %s was emptied", m.Name, m.Worker, p.Worker)
+			f.t.Errorf("%s went down with worker %s, but %s was emptied", m.Name, m.Worker, p.Worker)
 		}
 		m.Up, m.Worker = false, ""
-		f.back[m.Name] = f.nowMS + 2000
-		f.taken[m.Name]++
+		f.returnsAt[m.Name] = f.nowMS + 2000
+		f.downs[m.Name]++
 	}
 	return known
 }
 
-// restart gives a machine that is up a new worker by itself.
+// restart replaces the worker of a machine that is up.
 func (f *fleet) restart(i int) {
 	if m := &f.listed[i]; m.Up {
-		f.lives++
-		m.Worker = fmt.Sprintf("life-%d", f.lives)
+		f.restarts++
+		m.Worker = fmt.Sprintf("life-%d", f.restarts)
 	}
 }
 
-// A wave's machines go down one after the other, each once, none while another is down,
-// and the wave is said to be completed once the last has begun.
+// The machines of a wave must go down one at a time, each once, and the wave must be completed once
+// the upkeep of the last machine has begun.
 func TestAWaveTakesEachMachineOnce(t *testing.T) {
 	f := newFleet(t, 3)
 	f.start(Wave{Number: 1, Machines: f.names(), DurationMS: 20_000, MaxConcurrent: 1})
 	r := f.state.Waves[1]
 	for range 100 {
 		f.tick(200, true, true)
-		if len(f.back) > 1 {
-			t.Fatalf("%d machines are down at once", len(f.back))
+		if len(f.returnsAt) > 1 {
+			t.Fatalf("%d machines are down at once", len(f.returnsAt))
 		}
-		begun := len(f.taken) == 3
+		begun := len(f.downs) == 3
 		if r.Completed() != begun {
-			t.Fatalf("completed is %v with %d of 3 begun", r.Completed(), len(f.taken))
+			t.Fatalf("completed is %v with %d of 3 begun", r.Completed(), len(f.downs))
 		}
 	}
-	if !r.over() || f.state.Active() || len(f.state.Leaving()) != 0 {
+	if !r.finished() || f.state.Active() || len(f.state.Leaving()) != 0 {
 		t.Fatalf("the wave is not over: %+v", r.Machines)
 	}
 	if f.nowMS-r.StartedMS > 20_000 {
@@ -137,12 +137,12 @@
 	}
 }
 
-// A worker that is to go down runs tasks, one of which must not be taken away now. It
-// gets nothing new and time to run empty; past its patience it goes down with what it
+// The worker of a machine in a wave has running tasks, one of which must not be stopped now. It must
+// get no new tasks and time to become empty. After its drain time it goes down with what still
 // runs, but never with that task.
-func TestAWorkerRunsEmptyFirst(t *testing.T) {
+func TestWorkerIsDrainedFirst(t *testing.T) {
 	f := newFleet(t, 2)
-	f.busy["w0"], f.bound["w0"] = true, true
+	f.busy["w0"], f.pinned["w0"] = true, true
 	f.start(Wave{Number: 1, Machines: f.names(), DurationMS: 14_000, MaxConcurrent: 1})
 	f.tick(200, true, true)
 	if !f.state.Leaving()["w0"] || f.state.Leaving()["w1"] {
@@ -150,12 +150,12 @@
 	}
 	for range 100 {
 		if d := f.tick(200, true, true); len(d.Orders) != 0 {
-			t.Fatalf("ordered %v with a task that must stay", d.Orders)
+			t.Fatalf("ordered %v although a task must not be stopped", d.Orders)
 		}
 	}
-	f.bound["w0"] = false
+	f.pinned["w0"] = false
 	if d := f.tick(200, true, true); len(d.Orders) != 1 {
-		t.Fatalf("not ordered past its patience: %v", d)
+		t.Fatalf("no order after the drain time: %v", d)
 	}
 	f = newFleet(t, 2)
 	f.busy["w0"] = true
@@ -163,20 +163,19 @@
 	f.tick(0, true, true)
 	for f.nowMS < f.state.Waves[1].StartedMS+3000 {
 		if d := f.tick(200, true, true); len(d.Orders) != 0 {
-			t.Fatal("ordered within its patience of 4 s")
+			t.Fatal("ordered within the drain time of 4 s")
 		}
 	}
 	f.tick(2000, true, true)
-	if f.taken["m0"] != 1 {
-		t.Fatal("a worker that never runs empty holds the wave up")
+	if f.downs["m0"] != 1 {
+		t.Fatal("a worker that never becomes empty blocks the wave")
 	}
 }
 
-// Orders are lost, or carried out without an answer, and the leader changes between any
-// two steps: it decides from the committed state again. Workers crash and start anew,
-// machines leave for good. No
-// machine goes down twice, no more than allowed are down, the wave ends.
-func TestAWaveOutlivesLostAnswers(t *testing.T) {
+// Orders are lost or carried out without an answer, and the leader may change between any two steps,
+// so that each decision is made from the committed state alone. Workers crash and restart, and
+// machines are removed. No machine may go down twice, the limit must hold, and the wave must end.
+func TestWaveSurvivesLostAnswers(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
 		f := newFleet(t, 2+rng.Intn(6))
@@ -194,24 +193,24 @@
 				f.restart(rng.Intn(len(f.listed)))
 			}
 			if rng.Intn(40) == 0 && len(f.listed) > 1 {
-				gone := f.listed[len(f.listed)-1]
+				removed := f.listed[len(f.listed)-1]
 				f.listed = f.listed[:len(f.listed)-1]
-				delete(f.back, gone.Name)
+				delete(f.returnsAt, removed.Name)
 			}
-			if len(f.back) > w.MaxConcurrent {
-				t.Fatalf("seed %d: %d of %d machines are down\n%v", seed, len(f.back), w.MaxConcurrent, log)
+			if len(f.returnsAt) > w.MaxConcurrent {
+				t.Fatalf("seed %d: %d of %d machines are down\n%v", seed, len(f.returnsAt), w.MaxConcurrent, log)
 			}
 		}
 		for _, m := range f.listed {
-			if f.taken[m.Name] != 1 {
-				t.Fatalf("seed %d: %s went down %d times\n%v", seed, m.Name, f.taken[m.Name], log)
+			if f.downs[m.Name] != 1 {
+				t.Fatalf("seed %d: %s went down %d times\n%v", seed, m.Name, f.downs[m.Name], log)
 			}
 		}
 	}
 }
 
-// The operator loses the answer and sends the wave again, or another under its number,
-// or nonsense. Marks that a leader made before it was replaced come late.
+// An operator who lost the answer sends a wave again, or a different or invalid one under the same
+// number. Marks of an earlier leader arrive late.
 func TestStartsAndMarksAreIdempotent(t *testing.T) {
 	s := NewState()
 	w := Wave{Number: 3, Machines: []string{"a", "b"}, DurationMS: 1000, MaxConcurrent: 1}
@@ -230,26 +229,26 @@
 		t.Errorf("%d marks took effect: %+v", n, s.Waves[3].Machines)
 	}
 	for name, bad := range map[string]Wave{
-		"none at once": {Machines: []string{"a"}},
-		"named twice":  {Machines: []string{"a", "a"}, MaxConcurrent: 1},
-		"no name":      {Machines: []string{""}, MaxConcurrent: 1},
-		"backwards":    {Machines: []string{"a"}, MaxConcurrent: 1, DurationMS: -1},
+		"no concurrency": {Machines: []string{"a"}},
+		"listed twice":   {Machines: []string{"a", "a"}, MaxConcurrent: 1},
+		"no name":        {Machines: []string{""}, MaxConcurrent: 1},
+		"backwards":      {Machines: []string{"a"}, MaxConcurrent: 1, DurationMS: -1},
 	} {
 		if bad.Validate() == nil {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s: the wave is valid, want an error", name)
 		}
 	}
 	for n := range uint64(maxWaves + 10) {
 		s.ApplyStart(Wave{Number: 100 + n, MaxConcurrent: 1}, 5)
 	}
 	if len(s.Waves) > maxWaves || s.Waves[3] == nil {
-		t.Errorf("%d waves are kept; the one at work is %v", len(s.Waves), s.Waves[3])
+		t.Errorf("%d waves are kept; the unfinished one is %v", len(s.Waves), s.Waves[3])
 	}
 }
 
-// Guards against a machine that is listed under a worker of before, or now under one and now
-// under the other, since two waves know two starts of it.
-func TestTheWorkerNotedLastIsKnownLast(t *testing.T) {
+// Guards against listing a machine under an earlier worker, or under two workers in turn, when two
+// waves have noted different workers for it.
+func TestWorkersAreOrderedByLastMark(t *testing.T) {
 	s := NewState()
 	var want []string
 	for at := range int64(10) {
@@ -259,10 +258,10 @@
 		}
 		want = append(want, fmt.Sprint("w", at))
 		if s.ApplyMarks([]Mark{{Wave: number, Machine: "m0", Phase: Down, Worker: want[at], AtMS: 2 + at}}) != 1 {
-			t.Fatalf("the mark of wave %d did not hold", number)
+			t.Fatalf("the mark of wave %d was not applied", number)
 		}
 	}
 	if got := s.Workers(); !slices.Equal(got, want) {
-		t.Errorf("known are %v, want %v", got, want)
+		t.Errorf("workers are %v, want %v", got, want)
 	}
 }
