--- a/lessons/lessons.go
+++ b/lessons/lessons.go
@@ -1,8 +1,9 @@
-// Package lessons keeps in the log what leaders have learned of the work that they schedule:
-// which image disturbs which, how much headroom served images have, how far declared durations
-// are off. A leader's own knowledge ends with its process; when all processes end at once, by a
-// loss of power everywhere, the agents' copies end as well, and each of some hundred pairs would
-// be learned anew at the cost of served tasks' users. State is pure.
+// Package lessons keeps in the log what leaders have learned about the work that they schedule:
+// which filling images interfere with which served images, how much headroom served images have,
+// and how far declared durations are off. The knowledge of a leader ends with its process, and
+// when all processes end together, as in a complete loss of power, the agents' copies are lost as
+// well. Each of some hundred pairs would then have to be learned again at the cost of the users of
+// served tasks. State does no I/O and is not safe for concurrent use.
 package lessons
 
 import (
@@ -11,17 +12,17 @@
 	"slices"
 )
 
-// Pair is what a processor of a filling image takes of a served image's headroom.
+// Pair is the headroom that one processor of a filling image takes from a served image.
 type Pair struct {
 	Serving string  `msgpack:"s"`
 	Filling string  `msgpack:"f"`
 	Mean    float64 `msgpack:"m"`
 	Var     float64 `msgpack:"v"`
-	Seen    int     `msgpack:"n"` // steps behind it
+	Seen    int     `msgpack:"n"` // number of steps observed
 }
 
-// Level is the headroom that a served image has with nothing beside it: its mean, the mean of
-// its square, and the readings behind these.
+// Level is the headroom that a served image has alone: its mean, its mean square, and the number of
+// readings behind them.
 type Level struct {
 	Image  string  `msgpack:"i"`
 	Mean   float64 `msgpack:"m"`
@@ -29,7 +30,7 @@
 	N      float64 `msgpack:"n"`
 }
 
-// Duration is how long a queue's tasks take and how far their declarations are off, as means
+// Duration is how long a queue's tasks take and how far their declared durations are off, as means
 // and mean squares of logarithms of milliseconds.
 type Duration struct {
 	Queue        string  `msgpack:"q"` // host and prefix
@@ -40,78 +41,79 @@
 	MissSquare   float64 `msgpack:"s"`
 }
 
-// Update is what changed since the last one.
+// Update is what has changed since the previous update.
 type Update struct {
 	Pairs     []Pair     `msgpack:"p,omitempty"`
 	Levels    []Level    `msgpack:"l,omitempty"`
 	Durations []Duration `msgpack:"d,omitempty"`
 }
 
-// Empty reports whether nothing changed.
+// Empty reports whether the update contains nothing.
 func (u *Update) Empty() bool { return len(u.Pairs)+len(u.Levels)+len(u.Durations) == 0 }
 
-// Most of each that is kept, and an eighth more between two times that what was renewed longest
-// ago is dropped. Images and queues come and go for years.
+// Numbers of lessons of each kind that are kept. A number may be exceeded by an eighth before the
+// lessons updated longest ago are dropped. Without a bound the state would grow, since images and
+// queues come and go for years.
 const (
-	mostPairs     = 4000
-	mostLevels    = 500
-	mostDurations = 1000
+	maxPairs     = 4000
+	maxLevels    = 500
+	maxDurations = 1000
 )
 
-// kept is a lesson with the log index of its last renewal.
-type kept[T any] struct {
+// record is a lesson with the log index of its last update.
+type record[T any] struct {
 	Lesson T      `msgpack:"l"`
 	Index  uint64 `msgpack:"i"`
 }
 
-// State is all lessons, by what they are about.
+// State holds all lessons, each under the pair, image or queue that it is about.
 type State struct {
-	Pairs     map[string]kept[Pair]     `msgpack:"p"`
-	Levels    map[string]kept[Level]    `msgpack:"l"`
-	Durations map[string]kept[Duration] `msgpack:"d"`
+	Pairs     map[string]record[Pair]     `msgpack:"p"`
+	Levels    map[string]record[Level]    `msgpack:"l"`
+	Durations map[string]record[Duration] `msgpack:"d"`
 }
 
-// NewState returns the state without any lesson.
+// NewState returns a state without lessons.
 func NewState() *State {
-	return &State{Pairs: make(map[string]kept[Pair]), Levels: make(map[string]kept[Level]), Durations: make(map[string]kept[Duration])}
+	return &State{Pairs: make(map[string]record[Pair]), Levels: make(map[string]record[Level]), Durations: make(map[string]record[Duration])}
 }
 
-// Apply takes lessons over.
+// Apply stores the lessons of an update committed at a log index.
 func (s *State) Apply(u Update, index uint64) {
 	for _, p := range u.Pairs {
-		s.Pairs[p.Serving+" "+p.Filling] = kept[Pair]{p, index}
+		s.Pairs[p.Serving+" "+p.Filling] = record[Pair]{p, index}
 	}
 	for _, l := range u.Levels {
-		s.Levels[l.Image] = kept[Level]{l, index}
+		s.Levels[l.Image] = record[Level]{l, index}
 	}
 	for _, d := range u.Durations {
-		s.Durations[d.Queue] = kept[Duration]{d, index}
+		s.Durations[d.Queue] = record[Duration]{d, index}
 	}
-	forget(s.Pairs, mostPairs)
-	forget(s.Levels, mostLevels)
-	forget(s.Durations, mostDurations)
+	evictOldest(s.Pairs, maxPairs)
+	evictOldest(s.Levels, maxLevels)
+	evictOldest(s.Durations, maxDurations)
 }
 
-// forget drops the lessons that were renewed longest ago, down to a number.
-func forget[T any](m map[string]kept[T], most int) {
-	if len(m) <= most+most/8 {
+// evictOldest drops the lessons updated longest ago once the limit is exceeded by an eighth.
+func evictOldest[T any](m map[string]record[T], limit int) {
+	if len(m) <= limit+limit/8 {
 		return
 	}
 	names := slices.SortedFunc(maps.Keys(m), func(a, b string) int {
 		return cmp.Or(cmp.Compare(m[a].Index, m[b].Index), cmp.Compare(a, b))
 	})
-	for _, name := range names[:len(m)-most] {
+	for _, name := range names[:len(m)-limit] {
 		delete(m, name)
 	}
 }
 
-// All returns all lessons, in order.
+// All returns all lessons, ordered by what they are about.
 func (s *State) All() (u Update) {
 	u.Pairs, u.Levels, u.Durations = sorted(s.Pairs), sorted(s.Levels), sorted(s.Durations)
 	return u
 }
 
-func sorted[T any](m map[string]kept[T]) []T {
+func sorted[T any](m map[string]record[T]) []T {
 	out := make([]T, 0, len(m))
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		out = append(out, m[name].Lesson)
