--- a/runner/begin_test.go
+++ b/runner/begin_test.go
@@ -26,12 +26,12 @@
 		b.ctl.give(render)
 		begun := time.Now()
 		time.Sleep(2 * time.Second)
-		told := b.worker.paced()
-		if len(told) == 0 || told[0].Task != taskA || told[0].Percent > 50 {
-			t.Fatalf("told %+v", told)
+		paced := b.worker.paced()
+		if len(paced) == 0 || paced[0].Task != taskA || paced[0].Percent > 50 {
+			t.Fatalf("pace calls: %+v", paced)
 		}
-		if late := told[0].at.Sub(begun); late > 50*time.Millisecond {
-			t.Errorf("its pace was told %v after its start", late)
+		if late := paced[0].at.Sub(begun); late > 50*time.Millisecond {
+			t.Errorf("its pace was sent %v after its start", late)
 		}
 	})
 }
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -19,7 +19,7 @@
 	key runKey
 	// startedAt is the latest time at which the run had started, or the earliest if its start
 	// went unanswered.
-	began     time.Time
+	startedAt time.Time
 	uncertain bool
 }
 
@@ -35,11 +35,11 @@
 		switch {
 		case r.ended:
 		case r.started && r.startedAt.IsZero(): // by an earlier process of the agent
-			state.runs = append(state.runs, activeRun{key: key, began: s.began})
+			state.runs = append(state.runs, activeRun{key: key, startedAt: s.began})
 		case r.started:
-			state.runs = append(state.runs, activeRun{key: key, began: r.startedAt})
+			state.runs = append(state.runs, activeRun{key: key, startedAt: r.startedAt})
 		case r.uncertain && (!unresponsive || outage.ended().IsZero() || r.sentAt.Before(outage.ended())):
-			state.runs = append(state.runs, activeRun{key: key, began: r.sentAt, uncertain: true})
+			state.runs = append(state.runs, activeRun{key: key, startedAt: r.sentAt, uncertain: true})
 		}
 		r.mu.Unlock()
 	}
@@ -67,22 +67,22 @@
 // under its runs only if it had ended while the lease was in force, as its closed connections
 // or its successor's answer show.
 func (r *Runner) crashOf(state sessionState) *jobs.Crash {
-	s, unresponsive := r.liveness.outage(state.worker)
-	if !unresponsive || s.replaced.IsZero() {
+	outage, unresponsive := r.liveness.outage(state.worker)
+	if !unresponsive || outage.replaced.IsZero() {
 		return nil
 	}
-	leaseInForce := s.ended().Before(s.leaseEnd)
+	leaseInForce := outage.ended().Before(outage.leaseEnd)
 	certain := !state.leaving && leaseInForce
-	crash := &jobs.Crash{Worker: state.worker, SpanMS: s.ended().Sub(s.answered).Milliseconds()}
+	crash := &jobs.Crash{Worker: state.worker, SpanMS: outage.ended().Sub(outage.answered).Milliseconds()}
 	for _, x := range state.runs {
-		run := jobs.CrashedRun{Task: x.key.task, Run: x.key.run, ToMS: x.age(s.ended()).Milliseconds(), Unsure: x.uncertain}
+		run := jobs.CrashedRun{Task: x.key.task, Run: x.key.run, ToMS: x.age(outage.ended()).Milliseconds(), Unsure: x.uncertain}
 		if !x.uncertain {
-			run.FromMS = x.age(s.answered).Milliseconds()
+			run.FromMS = x.age(outage.answered).Milliseconds()
 		}
 		crash.Runs = append(crash.Runs, run)
 	}
-	logrus.WithFields(logrus.Fields{"worker": state.worker, "leaving": state.leaving, "closed": !s.closed.IsZero(), "lease_in_force": leaseInForce, "crash": certain,
-		"silent_ms": s.replaced.Sub(s.since).Milliseconds(), "runs": len(state.runs)}).
+	logrus.WithFields(logrus.Fields{"worker": state.worker, "leaving": state.leaving, "closed": !outage.closed.IsZero(), "lease_in_force": leaseInForce, "crash": certain,
+		"silent_ms": outage.replaced.Sub(outage.since).Milliseconds(), "runs": len(state.runs)}).
 		Warn("runner: A worker was replaced by another incarnation; its runs have ended.")
 	if !certain || len(crash.Runs) == 0 {
 		return nil
@@ -91,4 +91,4 @@
 }
 
 // age returns how long the run had been running at a time.
-func (x *activeRun) age(at time.Time) time.Duration { return max(at.Sub(x.began), 0) }
+func (x *activeRun) age(at time.Time) time.Duration { return max(at.Sub(x.startedAt), 0) }
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -76,17 +76,17 @@
 				if b.ctl.known() != "w2" {
 					t.Fatalf("the control knows %q", b.ctl.known())
 				}
-				told := b.ctl.reportedCrashes()
+				reported := b.ctl.reportedCrashes()
 				if !c.want {
-					if len(told) > 0 {
-						t.Fatalf("a crash was reported: %+v", told)
+					if len(reported) > 0 {
+						t.Fatalf("a crash was reported: %+v", reported)
 					}
 					return
 				}
-				if len(told) != 1 || told[0].Worker != "w1" || len(told[0].Runs) != 1 || told[0].Runs[0].Task != taskA {
-					t.Fatalf("reported %+v, want the crash of w1 under one run", told)
+				if len(reported) != 1 || reported[0].Worker != "w1" || len(reported[0].Runs) != 1 || reported[0].Runs[0].Task != taskA {
+					t.Fatalf("reported %+v, want the crash of w1 under one run", reported)
 				}
-				if r := told[0].Runs[0]; r.FromMS > 400 || r.ToMS < r.FromMS {
+				if r := reported[0].Runs[0]; r.FromMS > 400 || r.ToMS < r.FromMS {
 					t.Errorf("the run had been running for %d to %d ms, want at most 400 at the last answer", r.FromMS, r.ToMS)
 				}
 			})
@@ -100,7 +100,7 @@
 	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(startOf(runA1))
 		time.Sleep(3 * time.Second)
-		b.ctl.setNoTokens(true) // with a token in reserve no start would be sent to an unresponsive worker
+		b.ctl.setNoTokens(true) // otherwise no start is sent to an unresponsive worker
 		b.runner.tokens.spend(math.MaxUint64)
 		b.worker.failCalls(ErrClosed)
 		time.Sleep(time.Second)
@@ -112,11 +112,11 @@
 		b.seq = 0
 		b.announce("w2", false)
 		time.Sleep(2 * time.Second)
-		told := b.ctl.reportedCrashes()
-		if len(told) != 1 || len(told[0].Runs) != 1 || told[0].Runs[0].Task != taskA {
-			t.Fatalf("reported %+v, want the crash under the first run only", told)
+		reported := b.ctl.reportedCrashes()
+		if len(reported) != 1 || len(reported[0].Runs) != 1 || reported[0].Runs[0].Task != taskA {
+			t.Fatalf("reported %+v, want the crash under the first run only", reported)
 		}
-		if r := told[0].Runs[0]; r.FromMS < 2000 || r.FromMS > 3000 || r.ToMS < 2990 || r.ToMS > 3100 {
+		if r := reported[0].Runs[0]; r.FromMS < 2000 || r.FromMS > 3000 || r.ToMS < 2990 || r.ToMS > 3100 {
 			t.Errorf("the run had been running for %d to %d ms, want 3000", r.FromMS, r.ToMS)
 		}
 	})
@@ -140,8 +140,8 @@
 		time.Sleep(5 * time.Second)
 		b.announce("w2", true) // registers again
 		time.Sleep(time.Second)
-		if told := b.ctl.reportedCrashes(); len(told) != 1 || len(told[0].Runs) != 1 {
-			t.Fatalf("reported %+v, want one crash under one run", told)
+		if reported := b.ctl.reportedCrashes(); len(reported) != 1 || len(reported[0].Runs) != 1 {
+			t.Fatalf("reported %+v, want one crash under one run", reported)
 		}
 	})
 }
--- a/runner/degraded.go
+++ b/runner/degraded.go
@@ -40,38 +40,38 @@
 )
 
 // update processes the highest tail, as a fraction of its target.
-func (j *degradationDetector) update(now time.Time, worst float64, nothingFills bool) command {
+func (d *degradationDetector) update(now time.Time, worst float64, noFilling bool) command {
 	if worst <= overThreshold {
-		j.overSince, j.aloneSince = time.Time{}, time.Time{}
-		j.degraded = j.degraded && worst >= recoveredThreshold
-		return j.command(now)
+		d.overSince, d.aloneSince = time.Time{}, time.Time{}
+		d.degraded = d.degraded && worst >= recoveredThreshold
+		return d.command(now)
 	}
-	if j.overSince.IsZero() {
-		j.overSince = now
+	if d.overSince.IsZero() {
+		d.overSince = now
 	}
 	switch {
-	case !nothingFills:
-		j.aloneSince = time.Time{}
-	case j.aloneSince.IsZero():
-		j.aloneSince = now
-	case now.Sub(j.aloneSince) >= degradedAfter:
+	case !noFilling:
+		d.aloneSince = time.Time{}
+	case d.aloneSince.IsZero():
+		d.aloneSince = now
+	case now.Sub(d.aloneSince) >= degradedAfter:
 		// If filling runs stayed stopped on a degraded worker, they would be moved away one
 		// after the other, and its readings would be attributed to whatever filled there. They
 		// therefore work again for a while.
-		j.degraded, j.overSince, j.aloneSince = true, now, time.Time{}
+		d.degraded, d.overSince, d.aloneSince = true, now, time.Time{}
 	}
-	return j.command(now)
+	return d.command(now)
 }
 
-func (j *degradationDetector) command(now time.Time) command {
+func (d *degradationDetector) command(now time.Time) command {
 	over := time.Duration(0)
-	if !j.overSince.IsZero() {
-		over = now.Sub(j.overSince)
+	if !d.overSince.IsZero() {
+		over = now.Sub(d.overSince)
 	}
 	switch {
-	case j.degraded && over < maxFreeTime:
+	case d.degraded && over < maxFreeTime:
 		return releaseAll
-	case !j.degraded && over < stopAllAfter:
+	case !d.degraded && over < stopAllAfter:
 		return steerAll
 	}
 	return stopAll
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -370,15 +370,15 @@
 	mu            sync.Mutex
 	index         uint64
 	worker        string
-	life          string
+	session       string
 	orders        map[runKey]*order
 	ends          []jobs.End
 	endsOf        map[runKey]string // the worker that an end was first reported for
-	gone          []string          // workers reported as ended
+	endedWorkers  []string          // workers reported as ended
 	crashes       []jobs.Crash
 	registrations int
 	updates       int      // registrations of sessions that had registered before
-	silent        []string // workers reported as unresponsive
+	unresponsive  []string // workers reported as unresponsive
 	down          bool     // does not answer
 	cordoned      bool     // the worker's data centre is out of service
 	termMS        int64
@@ -442,7 +442,7 @@
 func (c *fakeControl) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life = ""
+	c.session = ""
 	c.orders = make(map[runKey]*order)
 }
 
@@ -460,10 +460,10 @@
 	return append([]jobs.Crash(nil), c.crashes...)
 }
 
-func (c *fakeControl) silenceReports() int {
+func (c *fakeControl) unresponsiveReports() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.silent)
+	return len(c.unresponsive)
 }
 
 func (c *fakeControl) registered() int {
@@ -472,10 +472,10 @@
 	return c.registrations
 }
 
-func (c *fakeControl) reportedGone() int {
+func (c *fakeControl) endReports() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.gone)
+	return len(c.endedWorkers)
 }
 
 func (c *fakeControl) setNoTokens(none bool) {
@@ -532,13 +532,13 @@
 		if c.worker != "" && c.worker != q.ID {
 			c.orders = make(map[runKey]*order)
 		}
-		c.worker, c.life = q.ID, q.Life
+		c.worker, c.session = q.ID, q.Life
 		c.lentLate = append(c.lentLate, q.LentLate)
 		if resp.(*control.Registered).Index = c.index; q.LentLate {
 			resp.(*control.Registered).LentMS = c.lentMS
 		}
 	case *control.LeaseRequest:
-		if q.Life != c.life {
+		if q.Life != c.session {
 			return refusal.New(refusal.NotRegistered, "", "")
 		}
 		a := resp.(*control.LeaseAnswer)
@@ -547,10 +547,10 @@
 		return c.waitOrders(q, resp.(*control.OrdersAnswer))
 	case *control.WorkerRef:
 		if path == control.PathSilent {
-			c.silent = append(c.silent, q.Worker)
+			c.unresponsive = append(c.unresponsive, q.Worker)
 			return nil
 		}
-		c.gone = append(c.gone, q.Worker)
+		c.endedWorkers = append(c.endedWorkers, q.Worker)
 	case *control.RunEnds:
 		resp.(*control.EndsAnswer).OvertakenMS = c.overtakenMS
 		for _, e := range q.Ends {
@@ -567,7 +567,7 @@
 func (c *fakeControl) waitOrders(q *control.OrdersRequest, a *control.OrdersAnswer) error {
 	deadline := time.After(time.Duration(q.WaitMS) * time.Millisecond)
 	for {
-		if q.Life != c.life {
+		if q.Life != c.session {
 			return refusal.New(refusal.NotRegistered, "", "")
 		}
 		for _, o := range c.orders {
--- a/runner/guard_test.go
+++ b/runner/guard_test.go
@@ -33,9 +33,9 @@
 func TestEachVerdictElsewhereFencesTheNextIncarnation(t *testing.T) {
 	runC1 := runKey{jobs.Ref{Job: "00000000000000cc"}, 1}
 	for _, c := range []struct {
-		name string
-		mute int // lists to drop, so that none is answered first
-		call func(*bench)
+		name      string
+		dropHolds int // lists to drop, so that none is answered first
+		call      func(*bench)
 	}{
 		{"a list", 0, func(*bench) { time.Sleep(callPause) }},
 		{"a start", 1, func(b *bench) { b.ctl.give(startOf(runC1)) }},
@@ -47,7 +47,7 @@
 				b.ctl.give(startOf(runB1))
 				time.Sleep(time.Second)
 				b.stopUnansweredStart()
-				b.worker.dropHolds(c.mute)
+				b.worker.dropHolds(c.dropHolds)
 				time.Sleep(holdWait + guardInterval/2) // between two checks of the guard
 				b.worker.restartWithSameID("w2")
 				s := b.session()
--- a/runner/lapse_test.go
+++ b/runner/lapse_test.go
@@ -31,9 +31,9 @@
 		time.Sleep(time.Second)
 		const longest = 10 * time.Second
 		begun := b.endLateRun(longest)
-		lent := b.worker.lease()
+		before := b.worker.lease()
 		for b.worker.acknowledged() == 0 && time.Since(begun) < 2*longest {
-			if b.worker.lease() > lent {
+			if b.worker.lease() > before {
 				t.Fatal("the lease was extended")
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/runner/late_lease_test.go
+++ b/runner/late_lease_test.go
@@ -14,21 +14,21 @@
 		b.ctl.mu.Unlock()
 		b.announce("w1", false)
 		time.Sleep(9 * time.Second)
-		said := func() []bool {
+		lateLeases := func() []bool {
 			b.ctl.mu.Lock()
 			defer b.ctl.mu.Unlock()
 			return slices.Clone(b.ctl.lentLate)
 		}
-		if s := said(); slices.Contains(s, false) {
+		if s := lateLeases(); slices.Contains(s, false) {
 			t.Fatalf("cleared early: %v", s)
 		}
 		time.Sleep(3 * time.Second)
-		if s := said(); s[len(s)-1] {
+		if s := lateLeases(); s[len(s)-1] {
 			t.Errorf("not cleared: %v", s)
 		}
 		b.session().end("the test ends it")
 		time.Sleep(time.Second)
-		if s := said(); s[len(s)-1] {
+		if s := lateLeases(); s[len(s)-1] {
 			t.Errorf("the next session with the same incarnation sets it again: %v", s)
 		}
 	})
--- a/runner/liveness.go
+++ b/runner/liveness.go
@@ -31,71 +31,71 @@
 
 // ended returns the latest time at which a replaced incarnation had ended. An unanswered call
 // does not prove an end: its answer may have been lost.
-func (s *outage) ended() time.Time {
-	if s.closed.IsZero() {
-		return s.replaced
+func (o *outage) ended() time.Time {
+	if o.closed.IsZero() {
+		return o.replaced
 	}
-	return s.closed
+	return o.closed
 }
 
 // track starts to track an incarnation, unless it is tracked already.
-func (c *liveness) track(worker string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.worker != worker {
-		c.worker, c.answered, c.leaseEnd, c.failingSince, c.closed, c.replaced = worker, time.Time{}, time.Time{}, time.Time{}, time.Time{}, time.Time{}
+func (l *liveness) track(worker string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.worker != worker {
+		l.worker, l.answered, l.leaseEnd, l.failingSince, l.closed, l.replaced = worker, time.Time{}, time.Time{}, time.Time{}, time.Time{}, time.Time{}
 	}
 }
 
 // record records the outcome of a call to an incarnation, and reports whether an outage begins
 // or ends with it.
-func (c *liveness) record(worker string, v Verdict, err error, now time.Time) (began, ended bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if worker != c.worker || !c.replaced.IsZero() {
+func (l *liveness) record(worker string, v Verdict, err error, now time.Time) (began, ended bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if worker != l.worker || !l.replaced.IsZero() {
 		return false, false
 	}
 	fails := err != nil || v == VerdictElsewhere
 	if !fails {
-		ended = !c.failingSince.IsZero()
-		c.answered, c.failingSince, c.closed = now, time.Time{}, time.Time{}
+		ended = !l.failingSince.IsZero()
+		l.answered, l.failingSince, l.closed = now, time.Time{}, time.Time{}
 		return false, ended
 	}
 	if err == nil {
-		c.replaced = now
+		l.replaced = now
 	}
-	if c.answered.IsZero() {
+	if l.answered.IsZero() {
 		return false, false
 	}
-	if c.closed.IsZero() && errors.Is(err, ErrClosed) {
-		c.closed = now
+	if l.closed.IsZero() && errors.Is(err, ErrClosed) {
+		l.closed = now
 	}
-	if c.failingSince.IsZero() {
-		c.failingSince, began = now, true
+	if l.failingSince.IsZero() {
+		l.failingSince, began = now, true
 	}
 	return began, false
 }
 
 // markReplaced records that another incarnation has taken the place of this one.
-func (c *liveness) markReplaced(worker string, now time.Time) {
-	c.record(worker, VerdictElsewhere, nil, now)
+func (l *liveness) markReplaced(worker string, now time.Time) {
+	l.record(worker, VerdictElsewhere, nil, now)
 }
 
 // extendLease records that the worker knows of a lease that lasts for another left.
-func (c *liveness) extendLease(worker string, left time.Duration, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if end := now.Add(left); worker == c.worker && end.After(c.leaseEnd) {
-		c.leaseEnd = end
+func (l *liveness) extendLease(worker string, left time.Duration, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if end := now.Add(left); worker == l.worker && end.After(l.leaseEnd) {
+		l.leaseEnd = end
 	}
 }
 
 // outage returns an incarnation's present outage, false while it answers.
-func (c *liveness) outage(worker string) (outage, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := outage{answered: c.answered, since: c.failingSince, closed: c.closed, leaseEnd: c.leaseEnd, replaced: c.replaced}
-	return s, worker == c.worker && !c.failingSince.IsZero()
+func (l *liveness) outage(worker string) (outage, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	o := outage{answered: l.answered, since: l.failingSince, closed: l.closed, leaseEnd: l.leaseEnd, replaced: l.replaced}
+	return o, worker == l.worker && !l.failingSince.IsZero()
 }
 
 // observedWorker is a Worker that records the outcome of each call in liveness.
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// logViolation logs that served tasks exceed their target or no longer do.
+// logViolation logs that serving tasks exceed their target or no longer do.
 func (s *session) logViolation(x violation) {
 	l := logrus.WithFields(logrus.Fields{"worker": s.worker, "job": x.group.job, "image": x.group.image, "runs": x.runs, "beside": x.culprit})
 	if !x.ended.IsZero() {
--- a/runner/pacer.go
+++ b/runner/pacer.go
@@ -20,7 +20,7 @@
 	maxReadingInterval = 600 * time.Millisecond
 	// A run whose image has had at most stallPace for stallTime is reported as stalled, so
 	// that it can move to another worker. With a shorter time, runs move that would soon
-	// continue; with a longer one, served tasks stay over their target for longer.
+	// continue; with a longer one, serving tasks stay over their target for longer.
 	stallPace = 50
 	stallTime = 800 * time.Millisecond
 	// placementLookAhead is how far ahead the spare headroom of serving groups is predicted
@@ -50,7 +50,7 @@
 	violations        map[servingGroup]violation // serving groups over their target
 	changedViolations []violation                // began or ended and not yet taken, for the log
 	lastScan          scan                       // the last reading, and the runs started since
-	worstRatio        float64                    // highest tail of the last reading as a fraction of its target
+	worstRatio        float64                    // result of worst for the last reading
 	readings          []control.Reading
 }
 
--- a/runner/pacer_test.go
+++ b/runner/pacer_test.go
@@ -252,17 +252,17 @@
 	s.read()
 	s.pressure["heavy"] = 0.4
 	s.read()
-	told := s.p.takeViolations()
-	if len(told) != 1 || told[0].culprit != "heavy" || told[0].group.job != "watch" || !told[0].ended.IsZero() {
-		t.Fatalf("reported %+v", told)
+	reported := s.p.takeViolations()
+	if len(reported) != 1 || reported[0].culprit != "heavy" || reported[0].group.job != "watch" || !reported[0].ended.IsZero() {
+		t.Fatalf("reported %+v", reported)
 	}
 	began := s.now
 	for range 6 {
 		s.read()
 	}
-	told = s.p.takeViolations()
-	if len(told) != 1 || told[0].ended.IsZero() || told[0].began != began {
-		t.Errorf("then reported %+v", told)
+	reported = s.p.takeViolations()
+	if len(reported) != 1 || reported[0].ended.IsZero() || reported[0].began != began {
+		t.Errorf("then reported %+v", reported)
 	}
 }
 
--- a/runner/paces.go
+++ b/runner/paces.go
@@ -6,8 +6,9 @@
 // newest one queued meanwhile goes next. Calls on different connections overtake each other,
 // so a run that was sent 60, 30 and 10 concurrently could stay at 60.
 type paceQueue struct {
-	mu   sync.Mutex
-	runs map[runKey]*PaceCall // runs with an active sender, and the call that it sends next, nil for none
+	mu sync.Mutex
+	// runs has the runs with an active sender, and the call to send next, nil for none.
+	runs map[runKey]*PaceCall
 }
 
 func newPaceQueue() *paceQueue { return &paceQueue{runs: make(map[runKey]*PaceCall)} }
--- a/runner/restart_test.go
+++ b/runner/restart_test.go
@@ -24,8 +24,8 @@
 		if b.worker.carryOutLostHolds() == 0 {
 			t.Fatal("the test needs an unanswered list")
 		}
-		if lent := time.Duration(b.ctl.termMS) * time.Millisecond; b.worker.lease() > lent {
-			t.Errorf("the lease lasts for another %v, the control granted %v", b.worker.lease(), lent)
+		if granted := time.Duration(b.ctl.termMS) * time.Millisecond; b.worker.lease() > granted {
+			t.Errorf("the lease lasts for another %v, the control granted %v", b.worker.lease(), granted)
 		}
 		b.ctl.setNoTokens(false)
 	})
--- a/runner/run.go
+++ b/runner/run.go
@@ -301,10 +301,10 @@
 // effect, so the run is stopped before it is reported as never started.
 func (r *run) handleRejection(v Verdict) {
 	r.mu.Lock()
-	unsure := r.uncertain
+	uncertain := r.uncertain
 	r.stop = true
 	r.mu.Unlock()
-	if !unsure {
+	if !uncertain {
 		r.reportNeverStarted(v.String())
 		r.setEnded()
 	}
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -62,9 +62,9 @@
 
 // New returns a runner for the worker behind w. It starts nothing when the control's last
 // confirmation that the data centre is in service is older than maxConfirmationAge.
-func New(agent string, ctl Control, w Worker, startWord time.Duration) *Runner {
+func New(agent string, ctl Control, w Worker, maxConfirmationAge time.Duration) *Runner {
 	c := &liveness{}
-	return &Runner{agent: agent, maxConfirmationAge: startWord, ctl: ctl, worker: observedWorker{w, c}, liveness: c, without: ablation.Linked(), changed: make(chan struct{}, 1)}
+	return &Runner{agent: agent, maxConfirmationAge: maxConfirmationAge, ctl: ctl, worker: observedWorker{w, c}, liveness: c, without: ablation.Linked(), changed: make(chan struct{}, 1)}
 }
 
 // Left handles a worker's announcement that it is ending.
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -279,21 +279,21 @@
 	reset := fmt.Errorf("%w: %w", ErrNotSent, ErrClosed)
 	refused := fmt.Errorf("%w: %w", ErrRefused, reset)
 	for _, c := range []struct {
-		said bool
-		away error
-		want bool
+		announced  bool
+		connectErr error
+		want       bool
 	}{{true, refused, true}, {false, refused, false}, {true, ErrNotSent, false}, {true, reset, false}} {
 		withBench(t, func(t *testing.T, b *bench) {
 			time.Sleep(time.Second)
-			if c.said {
+			if c.announced {
 				b.runner.Left("w1")
 			}
 			b.worker.mu.Lock()
-			b.worker.connectErr = c.away
+			b.worker.connectErr = c.connectErr
 			b.worker.mu.Unlock()
 			time.Sleep(2 * time.Second)
-			if got := b.ctl.reportedGone(); (got > 0) != c.want {
-				t.Errorf("announced its end: %v, connecting: %v; reported %d times", c.said, c.away, got)
+			if got := b.ctl.endReports(); (got > 0) != c.want {
+				t.Errorf("announced its end: %v, connecting: %v; reported %d times", c.announced, c.connectErr, got)
 			}
 		})
 	}
@@ -385,16 +385,16 @@
 		time.Sleep(callPause)
 		b.worker.failCalls(nil)
 		time.Sleep(time.Second)
-		if n := b.ctl.silenceReports(); n > 0 {
+		if n := b.ctl.unresponsiveReports(); n > 0 {
 			t.Fatalf("a worker that answers was reported as unresponsive %d times", n)
 		}
 		b.worker.failCalls(ErrClosed)
 		time.Sleep(300 * time.Millisecond)
-		if b.ctl.silenceReports() == 0 {
+		if b.ctl.unresponsiveReports() == 0 {
 			t.Error("the outage wasn't reported within 0.3 s")
 		}
 		time.Sleep(2 * time.Second)
-		if n := b.ctl.silenceReports(); n < 3 || n > 6 {
+		if n := b.ctl.unresponsiveReports(); n < 3 || n > 6 {
 			t.Errorf("reported %d times in 2.3 s", n)
 		}
 	})
--- a/runner/session.go
+++ b/runner/session.go
@@ -107,10 +107,11 @@
 	probeRequests   chan struct{}
 	reserveUsed     chan struct{} // signalled when the reserve token is taken
 
-	refusedConns      int       // connections refused since the last answer; the fields up to ackedCursor are used by holdLoop only
-	silenceReportedAt time.Time // when the control was last told that the worker is unresponsive
-	clockMS           int64     // the worker's clock in its last list
-	ackedCursor       uint64    // highest cursor that the worker has answered
+	// Only holdLoop uses the fields from here to ackedCursor.
+	refusedConns     int       // connections refused since the last answer
+	outageReportedAt time.Time // when the control was last told that the worker is unresponsive
+	clockMS          int64     // the worker's clock in its last list
+	ackedCursor      uint64    // highest cursor that the worker has answered
 
 	highestEnd uint64        // highest end listed by the worker
 	cursor     atomic.Uint64 // highest end known to be committed
--- a/runner/tokens.go
+++ b/runner/tokens.go
@@ -5,9 +5,11 @@
 // tokens holds an agent's fencing tokens. One is kept in reserve, so that a worker can be made
 // to refuse earlier calls even while the control is unreachable.
 type tokens struct {
-	mu      sync.Mutex
-	last    uint64 // of the newest session
-	reserve uint64 // higher than all used tokens, or equal to the last one until it is spent; 0 for none
+	mu   sync.Mutex
+	last uint64 // of the newest session
+	// reserve is higher than all used tokens, or equal to the last one until that is spent; 0
+	// for none.
+	reserve uint64
 }
 
 // current returns the newest session's token.
--- a/runner/unresponsive.go
+++ b/runner/unresponsive.go
@@ -62,10 +62,10 @@
 		return
 	}
 	s.switchToReserveToken()
-	if now.Sub(s.silenceReportedAt) < unresponsiveInterval {
+	if now.Sub(s.outageReportedAt) < unresponsiveInterval {
 		return
 	}
-	s.silenceReportedAt = now
+	s.outageReportedAt = now
 	go func() {
 		ref := s.ref()
 		if err := s.r.ctl.Call(control.PathSilent, unresponsiveInterval, &ref, nil); err != nil {
--- a/runner/violations.go
+++ b/runner/violations.go
@@ -27,10 +27,10 @@
 		over := sc.serving[g].headroom() < 1
 		switch {
 		case over && !open:
-			s := violation{group: g, began: now, runs: len(sc.serving[g].tails), tailMS: sc.serving[g].tail(), target: sc.serving[g].targetMS,
+			v := violation{group: g, began: now, runs: len(sc.serving[g].tails), tailMS: sc.serving[g].tail(), target: sc.serving[g].targetMS,
 				own: p.trackers[g].Own(), culprit: p.findCulprit(g, sc)}
-			p.violations[g] = s
-			out = append(out, s)
+			p.violations[g] = v
+			out = append(out, v)
 		case !over && open:
 			out = append(out, p.endViolation(now, g))
 		}
@@ -44,10 +44,10 @@
 }
 
 func (p *pacer) endViolation(now time.Time, g servingGroup) violation {
-	s := p.violations[g]
-	s.ended = now
+	v := p.violations[g]
+	v.ended = now
 	delete(p.violations, g)
-	return s
+	return v
 }
 
 // findCulprit returns the image at work that takes most of a group's headroom, "" for none.
@@ -55,8 +55,8 @@
 	m := p.model(g)
 	most, image := 0.0, ""
 	for _, filling := range slices.Sorted(maps.Keys(sc.use)) {
-		if took := sc.use[filling] * m.pressure(filling); took > most {
-			most, image = took, filling
+		if taken := sc.use[filling] * m.pressure(filling); taken > most {
+			most, image = taken, filling
 		}
 	}
 	return image
