--- a/runner/degraded.go
+++ b/runner/degraded.go
@@ -23,7 +23,7 @@
 )
 
 // degradationDetector distinguishes a degraded worker, whose tails are too long whatever fills
-// beside them, from one where filling runs disturb. It reads no clock: the time is passed in.
+// beside them, from one where filling runs interfere. It reads no clock: the time is passed in.
 type degradationDetector struct {
 	overSince  time.Time // since when a tail is continuously too long, zero if none is
 	aloneSince time.Time // since when, within that time, no filling run is at work
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -9,7 +9,7 @@
 	"github.com/waxwinghaven/waxwinghaven/jobs"
 )
 
-// pace slows down filling runs that disturb serving ones.
+// pace slows down filling runs that interfere with serving ones.
 func (s *session) pace(running []RunningRun) {
 	s.logReading(running)
 	s.setPaces(s.pacer.next(time.Now(), running, s.lookup))
--- a/runner/pacer_test.go
+++ b/runner/pacer_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// The learned costs are wrong, so the disturbing render is not known. The watcher may be over
+// The learned costs are wrong, so the interfering render is not known. The watcher may be over
 // its target because of renders for four seconds at most, so all renders must have stopped two
 // seconds before that.
 func TestPaceStopsEverythingWithinTwoSeconds(t *testing.T) {
@@ -366,7 +366,7 @@
 }
 
 // Guards against a worker that counts as degraded because of a delayed reading. A watcher's
-// tail is briefly too long while every render is stopped. A new render starts, disturbs and is
+// tail is briefly too long while every render is stopped. A new render starts, interferes and is
 // stopped, and the next reading still covers half a second of it. Counting that as degradation
 // would let all renders work for seconds while the watcher is over its target.
 func TestAStoppedRendersLastReadingIsNoSignOfADegradedWorker(t *testing.T) {
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -1,6 +1,6 @@
 // Package runner carries out the control's orders on the worker beside an agent: it starts and
 // stops runs under a lease and a fencing token, reports their ends, and slows down filling
-// runs that disturb serving ones.
+// runs that interfere with serving ones.
 package runner
 
 import (
