--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -11,8 +11,9 @@
 )
 
 // An operator takes a data centre out of service and brings it back. The answer to the first order
-// is lost, and a copy of that order arrives last, through another replica. It must not take the
-// data centre out of service again: nothing would start there although no operator wants that.
+// is lost, and a copy of that order, based on a revision before the return, arrives last through
+// another replica. It must not take the data centre out of service again: nothing would start there
+// although no operator wants that.
 func TestOvertakenOrderChangesNothing(t *testing.T) {
 	s := NewState()
 	out, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned, ID: "o-1"}, 5)
--- a/routing/table.go
+++ b/routing/table.go
@@ -221,7 +221,8 @@
 type Report struct {
 	Free   int  // free slots afterwards, -1 if unknown
 	Failed bool // the agent or its upstream failed to serve the request
-	// Unreached is set if no connection to the agent could be made.
+	// Unreached is set if no connection to the agent could be made or the agent is leaving. It is
+	// then excluded after this one failure.
 	Unreached bool
 }
 
--- a/upkeep/next.go
+++ b/upkeep/next.go
@@ -40,6 +40,7 @@
 	Machine string
 }
 
+// Times within which Next moves a machine on.
 const (
 	// minDrainTime is the least time that a worker is given to become empty: most short tasks
 	// end within it, and standing tasks have been moved by then.
