--- a/agent/agent.go
+++ b/agent/agent.go
@@ -23,7 +23,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// part prefixes this part's log lines and labels its counters.
+// part prefixes the agent's log lines and labels its counters.
 const part = "agent"
 
 const (
@@ -31,7 +31,7 @@
 	workerTimeout = time.Second
 )
 
-// Agent is the process beside one upstream and one worker.
+// Agent runs beside one upstream and one worker on the same instance.
 type Agent struct {
 	set    *settings.Settings
 	tls    *tls.Config // nil for plain links
@@ -42,16 +42,16 @@
 	meter  *meter
 
 	mu        sync.Mutex
-	announce  *Announcement // the last one, nil before the first
-	heard     time.Time     // of the last heartbeat
-	silent    bool          // the heartbeats have stopped
+	announce  *Announcement // the latest, nil before the first
+	heard     time.Time
+	silent    bool // no heartbeat within the announcement time-out
 	withdrawn bool
 	gate      *admission.Gate
 	upstream  *fasthttp.HostClient
 	markets   map[string]*market.View
 	revision  uint64
 
-	leaseEnd atomic.Int64 // nanoseconds on the process's monotonic clock
+	leaseEnd atomic.Int64 // nanoseconds since started, on the monotonic clock
 	started  time.Time
 	lastErr  string
 
@@ -59,7 +59,7 @@
 	runs   *runs
 }
 
-// New returns an agent that is not yet running.
+// New returns an agent that is not running yet.
 func New(set *settings.Settings) (*Agent, error) {
 	tlsConfig, err := transport.LoadTLS(transport.KeysOf(set))
 	if err != nil {
@@ -73,7 +73,8 @@
 	return g, nil
 }
 
-// spreadStart makes agents ask different replicas first.
+// spreadStart returns the index of the control replica to call first. It depends on the
+// agent's name, so that agents spread over the replicas.
 func spreadStart(name string) int {
 	n := 0
 	for _, b := range []byte(name) {
@@ -82,8 +83,8 @@
 	return n
 }
 
-// Run serves until the context ends, then refuses what comes, finishes what is
-// in progress, and tells the control that it leaves.
+// Run serves until ctx ends. It then refuses new requests, waits for those in progress and
+// reports to the control that the instance leaves.
 func (g *Agent) Run(ctx context.Context) error {
 	ln, err := transport.Listen(g.set.Address(g.set.Agent.Port))
 	if err != nil {
@@ -113,8 +114,8 @@
 	return eg.Wait()
 }
 
-// drain closes the gate, so that entries turn elsewhere at once, and waits for
-// the requests in progress and for one renewal that carries the news.
+// drain closes the gate, so that entries go to other agents immediately. It waits for the
+// requests in progress and long enough for a renewal to report the withdrawal.
 func (g *Agent) drain() {
 	g.withdraw()
 	deadline := time.Now().Add(g.set.Instance.Drain.Duration)
@@ -133,12 +134,12 @@
 	return g.gate.Used()
 }
 
-// announced takes in an upstream's heartbeat.
+// announced processes a heartbeat of the upstream.
 func (g *Agent) announced(a Announcement, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.announce == nil || g.announce.Address != a.Address {
-		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: An upstream announced itself.")
+		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: Received the first announcement from an upstream.")
 	}
 	g.announce, g.heard, g.silent = &a, now, false
 	if a.Leaving || g.withdrawn {
@@ -149,15 +150,15 @@
 	release(g.gate.Open(a.Slots, a.running()))
 }
 
-// leaving reports whether no more work is wanted here.
+// leaving reports whether the agent is withdrawn or its upstream is leaving.
 func (g *Agent) leaving() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.withdrawn || (g.announce != nil && g.announce.Leaving)
 }
 
-// dialUpstream keeps one pool of connections to the upstream, bounded as the
-// upstream asked.
+// dialUpstream keeps one connection pool to the upstream, with the limit that the upstream
+// announced.
 func (g *Agent) dialUpstream(a Announcement) {
 	if g.upstream != nil && g.upstream.Addr == a.Address && g.upstream.MaxConns == a.Connections {
 		return
@@ -166,11 +167,12 @@
 	g.upstream.MaxIdleConnDuration, g.upstream.StreamResponseBody, g.upstream.DisablePathNormalizing = upstreamIdle, true, true
 }
 
-// upstreamIdle is shorter than the idle time of usual servers: a request sent
-// on a connection that the upstream is just closing would end as unknown.
+// upstreamIdle is shorter than the idle time-out of common servers: a request sent on a
+// connection that the upstream is closing would end with an unknown outcome.
 const upstreamIdle = 4 * time.Second
 
-// withdraw refuses all new requests from now on, whatever the entries know.
+// withdraw makes the agent refuse all new requests, even from entries that have not yet
+// learned of the withdrawal.
 func (g *Agent) withdraw() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,54 +180,54 @@
 	release(g.gate.Close(refusal.Leaving))
 }
 
+// release wakes the requests whose tickets were decided.
 func release(tickets []*admission.Ticket) {
 	for _, t := range tickets {
 		close(t.Ready)
 	}
 }
 
-// expireUpstream takes an upstream that stopped its heartbeats for gone. The
-// worker beside it may still run tasks, so its address is kept.
+// expireUpstream closes the gate when the upstream's heartbeats have stopped. The worker may
+// still run tasks, so the announcement with its address is kept.
 func (g *Agent) expireUpstream(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.announce == nil || g.silent || now.Sub(g.heard) < g.set.Agent.AnnounceTimeout.Duration {
 		return
 	}
-	logrus.WithField("upstream", g.announce.Address).Warn("agent: The upstream stopped its heartbeats.")
+	logrus.WithField("upstream", g.announce.Address).Warn("agent: No heartbeat from the upstream within the time-out; refusing requests.")
 	g.silent = true
 	release(g.gate.Close(refusal.NoUpstream))
 }
 
-// renewLoop reads the worker, renews the lease, and tells the worker.
+// renewLoop periodically reads the worker's report, renews its lease and sends it commands.
 func (g *Agent) renewLoop(ctx context.Context) error {
 	tick := time.NewTicker(g.set.Agent.Renew.Duration)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			g.renew() // carries the withdrawal if drain was too short for it
+			g.renew() // reports the withdrawal in case drain ended before a renewal did
 			return nil
 		case <-tick.C:
 			g.expireUpstream(time.Now())
 			g.renew()
 			if len(g.ledger.Ends()) > 0 {
-				// The worker just confirmed a stop or an end. Somebody may
-				// be waiting for the room, so it is told at once.
+				// The worker has confirmed a stop or an end. Other tasks may wait for
+				// the freed capacity, so report it without waiting for the next tick.
 				g.renew()
 			}
 		}
 	}
 }
 
-// renew does one round. The worker's clock is read before the renewal is sent
-// and the lease counts from there: whatever is delayed or frozen in between
-// only makes the worker's lease shorter than what the control believes.
+// renew does one round of report, renewal and commands. The worker's clock is read before the
+// renewal is sent and the lease counts from that reading: a delay or a suspended process in
+// between only makes the worker's lease end earlier than the control assumes.
 //
-// Before the first announcement nothing is sent. An agent that was just started
-// anew does not know its worker's boot yet; naming none would tell the control
-// that the worker had restarted, and its tasks would be started elsewhere while
-// they still run here.
+// Nothing is sent before the first announcement. A restarted agent does not know its worker's
+// boot yet; a renewal without it would mean to the control that the worker had restarted, and
+// its tasks would be started elsewhere while they still run here.
 func (g *Agent) renew() {
 	workerAddr, known := g.workerAddress()
 	if !known {
@@ -233,7 +235,7 @@
 	}
 	report, ok := g.readWorker(workerAddr)
 	if !ok && workerAddr != "" {
-		return // without the worker's clock no lease can be given to it
+		return // a lease can't be given without the worker's clock
 	}
 	sent, asked := time.Now(), clock.Now()
 	req := g.renewal(report)
@@ -265,7 +267,7 @@
 	refusal.Count("renewal", e.Code)
 	if g.lastErr != string(e.Code) {
 		g.lastErr = string(e.Code)
-		logrus.Warnf("agent: Could not renew: %v.", err)
+		logrus.Warnf("agent: Could not renew the lease: %v.", err)
 	}
 }
 
@@ -286,7 +288,7 @@
 		return r, false
 	}
 	if err := g.callWorker(addr, fasthttp.MethodGet, worker.PathReport, nil, &r); err != nil {
-		logrus.Warnf("agent: The worker does not answer: %v.", err)
+		logrus.Warnf("agent: Could not read the worker's report: %v.", err)
 		return r, false
 	}
 	g.ledger.Observe(r)
@@ -297,7 +299,7 @@
 	var r worker.Report
 	cmd := g.ledger.Commands(untilMS)
 	if err := g.callWorker(addr, fasthttp.MethodPost, worker.PathSync, &cmd, &r); err != nil {
-		logrus.Warnf("agent: The worker does not answer: %v.", err)
+		logrus.Warnf("agent: Could not send commands to the worker: %v.", err)
 		return
 	}
 	g.ledger.Observe(r)
@@ -327,10 +329,10 @@
 		Usage: g.meter.read(time.Now(), load, g.ledger.Jobs()), Revision: g.revision}
 }
 
-// noWorker is the boot of an instance without a worker.
+// noWorker is reported as the boot of an instance without a worker.
 const noWorker = "none"
 
-// member is the announcement that this agent makes of the instance.
+// member returns the instance's membership record for a renewal. The caller holds g.mu.
 func (g *Agent) member(report worker.Report) membership.Member {
 	m := membership.Member{Agent: g.set.Instance.Name, Address: g.set.Address(g.set.Agent.Port),
 		DataCentre: g.set.Instance.DataCentre, Boot: report.Boot, Capacity: report.Capacity}
@@ -344,7 +346,7 @@
 	return m
 }
 
-// takeConfig takes in news of markets; an older one never replaces a newer.
+// takeConfig stores changed markets. An older revision never replaces a newer one.
 func (g *Agent) takeConfig(a control.RenewAnswer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -15,25 +15,25 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// Announcement is what an upstream posts to its agent's local port, again and
-// again as a heartbeat.
+// Announcement is the body that an upstream posts to its agent's local port, periodically, as
+// a heartbeat.
 type Announcement struct {
 	Market  string `json:"market"`
 	Service string `json:"service"`
-	// Address is the upstream's IP number and port.
+	// Address is the upstream's IP address and port.
 	Address string `json:"address"`
 	Rack    string `json:"rack"`
-	// Worker is the address of the worker's interface, empty without one.
+	// Worker is the IP address and port of the worker's interface, empty without a worker.
 	Worker      string          `json:"worker,omitempty"`
 	Capacity    resource.Vector `json:"capacity"`
 	Slots       int             `json:"slots"`
 	Connections int             `json:"connections"`
-	// Running is the upstream's own count of requests in progress. With it
-	// the agent frees the slots of requests it gave up on.
+	// Running is the upstream's own count of requests in progress. The agent uses it to
+	// free the slots of requests that it no longer waits for.
 	Running *int `json:"running,omitempty"`
-	// Leaving asks for no more work; requests in progress are finished.
+	// Leaving asks for no new requests; those in progress are finished.
 	Leaving bool `json:"leaving,omitempty"`
-	// Runs is there if the worker takes tasks of callers' jobs.
+	// Runs is set if the worker accepts tasks of callers' jobs.
 	Runs *RunsAnnouncement `json:"runs,omitempty"`
 }
 
@@ -62,10 +62,10 @@
 		return bad("give 1 to 100000 of each", "slots %d or connections %d are out of range", a.Slots, a.Connections)
 	}
 	if a.Running != nil && *a.Running < 0 {
-		return bad("count the requests in progress", "running %d is less than nothing", *a.Running)
+		return bad("count the requests in progress", "running %d is negative", *a.Running)
 	}
 	if a.Capacity.Negative() {
-		return bad("give amounts of 0 or more", "the capacity is less than nothing")
+		return bad("give amounts of 0 or more", "the capacity is negative")
 	}
 	if a.Runs != nil {
 		return a.Runs.validate()
@@ -80,7 +80,7 @@
 	return *a.Running
 }
 
-// serveLocal answers the instance itself: the upstream, and health and metrics.
+// serveLocal serves the local port: the upstream's announcements, health checks and metrics.
 func (g *Agent) serveLocal(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Method()) + " " + string(ctx.Path()) {
 	case "POST /announce":
--- a/agent/announce_test.go
+++ b/agent/announce_test.go
@@ -29,10 +29,10 @@
 	return g.gate.Arrive(&admission.Ticket{Deadline: time.Now().Add(time.Second), Ready: make(chan struct{})}, time.Now())
 }
 
-// An upstream says that it is leaving. Whatever the entries still send is refused
-// from this moment as not run: the promise does not wait for news to reach them.
-// An upstream that falls silent is taken for gone, and is served again after its
-// next heartbeat; one whose agent drains is not.
+// Requests reach an upstream that announced it is leaving, because the entries have not
+// learned of it yet. The agent must refuse them as not run from that announcement on. It also
+// refuses when the heartbeats stop, until the next one; a draining agent refuses regardless
+// of heartbeats.
 func TestAgentRefusesForItsUpstreamAtOnce(t *testing.T) {
 	g := testAgent(t)
 	a := Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 2, Connections: 2}
@@ -63,9 +63,9 @@
 	}
 }
 
-// An entry was frozen between its caller's request and its own. What it then sends
-// has no time left; begun anyway, it would run after its caller was told "unknown"
-// and, with a key that was forgotten meanwhile, a second time.
+// An entry is suspended between receiving a request and sending it on, so that no time is left
+// when the agent gets it. If it were started, it would run after its caller was told "unknown"
+// and, if its idempotency key has expired meanwhile, a second time.
 func TestRequestWithoutTimeLeftIsNotBegun(t *testing.T) {
 	g := testAgent(t)
 	g.announced(Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 2, Connections: 2}, time.Now())
@@ -82,7 +82,7 @@
 	}
 }
 
-// Announcements that offer nonsense are refused with what is wrong.
+// Announcements with invalid fields are refused as invalid.
 func TestBadAnnouncementsAreRefused(t *testing.T) {
 	good := Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 1, Connections: 1}
 	if err := good.validate(); err != nil {
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -7,19 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errUnframed is an answer whose end was marked only by the end of its
-// connection: it may have been cut anywhere, and nobody could tell.
+// errUnframed means that the end of an answer is marked only by the end of the connection, so
+// that a truncated answer can't be told from a complete one.
 var errUnframed = errors.New("the answer has neither a length nor chunks")
 
-// unframed is how fasthttp shows such an answer's length.
+// unframed is fasthttp's content length for such an answer.
 const unframed = -2
 
-// readWhole reads an answer that was asked for as a stream, up to max bytes.
+// readWhole reads the streamed body of an answer, up to max bytes, into resp.
 //
-// It is a stream because the library, reading it by itself, turns an answer
-// without framing into one with a length, and a cut one would pass for whole.
-// On any error the connection is closed: what is left on it must never become
-// the start of another caller's answer.
+// The body is streamed because fasthttp otherwise gives an unframed answer a length, and a
+// truncated answer would pass for complete. On any error the connection is closed: unread
+// bytes on it must never become the start of another caller's answer.
 func readWhole(resp *fasthttp.Response, max int) error {
 	stream := resp.BodyStream()
 	if stream == nil {
--- a/agent/ledger.go
+++ b/agent/ledger.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside each upstream. It alone opens connections
-// to the upstream and gives tasks to the worker, so what they can hold is
-// guarded in one place, however many entries and control replicas there are.
+// Package agent implements the process beside each upstream. Only the agent opens connections
+// to the upstream and sends tasks to the worker, so that their limits are enforced in one
+// place, however many entries and control replicas there are.
 package agent
 
 import (
@@ -11,26 +11,27 @@
 	"github.com/waxwinghaven/waxwinghaven/worker"
 )
 
-// Ledger is the agent's pure book of task attempts: the control's orders on one
-// side, the worker's report on the other, and what follows from the two.
+// Ledger holds the agent's view of task attempts: the orders of the control and the latest
+// report of the worker. It derives the worker's commands and the ends to report. It does no
+// I/O and is not safe for concurrent use.
 type Ledger struct {
 	boot     string
 	capacity resource.Vector
 	orders   map[string]lease.Order
 	report   map[worker.Ref]worker.TaskReport
 	throttle []string
-	// cordoned says that the data centre is out of service: what was ordered and has not
-	// begun is given back.
+	// cordoned is set while the data centre is out of service: ordered attempts that have
+	// not started are returned to the control.
 	cordoned bool
 }
 
-// NewLedger returns an empty book.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{orders: make(map[string]lease.Order), report: make(map[worker.Ref]worker.TaskReport)}
 }
 
-// Observe takes in a worker's report. A new boot ends all that was ordered
-// under the old one: the control learns it from the next announcement.
+// Observe records a worker's report. A new boot discards all orders for the previous one; the
+// control learns of it from the next renewal.
 func (l *Ledger) Observe(r worker.Report) {
 	if r.Boot != l.boot {
 		l.boot = r.Boot
@@ -46,10 +47,10 @@
 // Boot returns the worker's boot, "" before the first report.
 func (l *Ledger) Boot() string { return l.boot }
 
-// Capacity returns the worker's own word of what it can hold.
+// Capacity returns the capacity that the worker reported last.
 func (l *Ledger) Capacity() resource.Vector { return l.capacity }
 
-// Digest sums up the orders held.
+// Digest returns a digest of the current orders.
 func (l *Ledger) Digest() uint64 {
 	list := make([]lease.Order, 0, len(l.orders))
 	for _, o := range l.orders {
@@ -58,8 +59,8 @@
 	return lease.Digest(list)
 }
 
-// Ends returns the ends that the control has not taken in yet. They are told
-// again until the control's orders no longer name the attempt.
+// Ends returns the ended attempts that the control has not processed yet, in order of task.
+// An end is reported again until the control's orders no longer contain the attempt.
 func (l *Ledger) Ends() []lease.End {
 	var out []lease.End
 	for _, o := range l.orders {
@@ -68,7 +69,7 @@
 		case ok && !t.Running:
 			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: t.Outcome, Checkpoint: t.Checkpoint, Reason: t.Reason})
 		case !ok && o.Stop == lease.StopNone && !o.Need.Fits(l.capacity):
-			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: lease.OutcomeRejected, Reason: "the worker is too small"})
+			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: lease.OutcomeRejected, Reason: "the task needs more than the worker's capacity"})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Task < out[j].Task })
@@ -77,8 +78,8 @@
 
 func refOf(o lease.Order) worker.Ref { return worker.Ref{Task: o.Task, Attempt: o.Attempt} }
 
-// Replace takes over the control's orders. boot is the one that the renewal
-// named; orders for another boot would start tasks on the wrong worker.
+// Replace sets the control's orders. boot is the one that the renewal reported; orders for
+// another boot are ignored, since they would start tasks on the wrong worker process.
 func (l *Ledger) Replace(boot string, orders []lease.Order) {
 	if boot != l.boot {
 		return
@@ -89,20 +90,21 @@
 	}
 }
 
-// Cordon takes in whether the data centre is out of service.
+// Cordon sets whether the data centre is out of service.
 func (l *Ledger) Cordon(cordoned bool) { l.cordoned = cordoned }
 
-// Cordoned returns what Cordon took in last.
+// Cordoned returns the value last set by Cordon.
 func (l *Ledger) Cordoned() bool { return l.cordoned }
 
-// Throttle sets the tasks that are to run slower.
+// Throttle sets the tasks to be throttled.
 func (l *Ledger) Throttle(tasks []string) { l.throttle = tasks }
 
-// Commands returns what the worker is to be told under a lease that ends at
-// untilMS of the worker's clock.
+// Commands returns the commands for the worker under a lease that ends at untilMS, in
+// milliseconds of the worker's clock.
 //
-// Room is counted from what the worker says it runs, not from what was sent:
-// a task that is being stopped holds its room until the worker confirms it.
+// Free capacity is computed from the attempts that the worker reports as running, not from the
+// commands sent: a task that is being stopped keeps its resources until the worker confirms
+// the stop.
 func (l *Ledger) Commands(untilMS int64) worker.Sync {
 	s := worker.Sync{Boot: l.boot, UntilMS: untilMS, Throttle: l.throttle}
 	free := l.capacity
@@ -130,8 +132,8 @@
 	switch {
 	case known && !t.Running:
 	case !known && l.cordoned:
-		// An earlier start of it may still be on its way. Once the stop is answered the
-		// worker reports the attempt as rejected, and it runs elsewhere.
+		// An earlier start command may still be in flight. Once the worker has processed
+		// the stop it reports the attempt as rejected, and the task can run elsewhere.
 		s.Stop = append(s.Stop, worker.Stop{Task: o.Task, Attempt: o.Attempt})
 	case o.Stop != lease.StopNone:
 		s.Stop = append(s.Stop, worker.Stop{Task: o.Task, Attempt: o.Attempt, Checkpoint: o.Stop == lease.StopCheckpoint})
@@ -151,7 +153,8 @@
 	return out
 }
 
-// Jobs counts the running attempts by job, for a measurement.
+// Jobs returns the number of running attempts by job, for a measurement. Throttled attempts
+// are counted under the job's name with worker.ThrottledSuffix.
 func (l *Ledger) Jobs() map[string]int {
 	out := make(map[string]int)
 	for _, t := range l.report {
--- a/agent/measure.go
+++ b/agent/measure.go
@@ -10,29 +10,29 @@
 	"github.com/waxwinghaven/waxwinghaven/worker"
 )
 
-// Bounds of one measurement.
+// Limits of one measurement window.
 const (
 	windowSamples = 512
-	minSamples    = 20 // below this a 99th percentile says nothing
+	minSamples    = 20 // with fewer, a 99th percentile is meaningless
 	windowTime    = 5 * time.Second
 )
 
-// meter measures the upstream's latency in windows. Each window carries the
-// jobs that ran during it; a window in which they changed is thrown away, since
-// its latency could not be attributed.
+// meter measures the upstream's latency in windows. Each window records the jobs that ran
+// during it; a window in which they changed is discarded, since its latency can't be
+// attributed to either set of jobs.
 type meter struct {
 	mu      sync.Mutex
 	started time.Time
 	samples []float64 // milliseconds
 	jobs    map[string]int
-	mixed   bool
+	mixed   bool // the jobs changed within the window
 	usage   control.Usage
-	ended   map[worker.Ref]bool
+	ended   map[worker.Ref]bool // attempts whose end is counted
 }
 
 func newMeter() *meter { return &meter{started: time.Now(), ended: make(map[worker.Ref]bool)} }
 
-// request notes one request's time at the upstream.
+// request records the time that one request took at the upstream.
 func (m *meter) request(took time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,8 +46,8 @@
 	}
 }
 
-// tasks notes how attempts ended, each once. In a data centre that is out of service a
-// rejection is no failure.
+// tasks counts ended attempts, each once. While the data centre is out of service (cordoned), a
+// rejection does not count as a failure.
 func (m *meter) tasks(ends []lease.End, cordoned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// read closes the window if it is full and returns the newest measurement.
+// read closes the window if it is complete and returns the latest measurement.
 func (m *meter) read(now time.Time, load float64, jobs map[string]int) control.Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -14,11 +14,11 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// defaultTime bounds a request whose entry sent no deadline.
+// defaultTime is the time allowed for a request whose entry sent no deadline.
 const defaultTime = 30 * time.Second
 
-// strayTime is how long past its caller's deadline a request to the upstream is
-// still waited for, so that its slot is freed when it really ends.
+// strayTime is how long the agent waits for the upstream past the caller's deadline, so that
+// the slot is freed when the request has actually ended.
 const strayTime = 30 * time.Second
 
 var (
@@ -26,8 +26,8 @@
 	strays      = metrics.NewCounter(`waxwinghaven_stray_requests_total{part="agent"}`)
 )
 
-// serveEntry answers an entry's request. Whatever is refused here certainly
-// was not run, whatever the entries know of this agent.
+// serveEntry handles a request from an entry. A request that is refused here has certainly
+// not been run.
 func (g *Agent) serveEntry(ctx *fasthttp.RequestCtx) {
 	id := ctx.Request.Header.Peek(header.ID)
 	ctx.Response.Header.SetBytesV(header.ID, id)
@@ -43,8 +43,8 @@
 	g.forward(ctx, t.Deadline)
 }
 
-// deadlineOf returns when the entry's caller gives up. An entry that was frozen
-// sends a time that has passed already, and such a request must not be begun.
+// deadlineOf returns the deadline of the entry's caller. It is in the past if the entry was
+// suspended before sending; such a request must not be started.
 func deadlineOf(ctx *fasthttp.RequestCtx) time.Time {
 	ms, err := strconv.Atoi(string(ctx.Request.Header.Peek(header.TimeLeft)))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return time.Now().Add(time.Duration(ms) * time.Millisecond)
 }
 
-// enter waits for a slot, at most until the deadline.
+// enter waits for a slot of the upstream until the ticket's deadline at most.
 func (g *Agent) enter(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
 	v := g.arrive(t, ctx)
 	if v.Decision != admission.Queue {
@@ -71,15 +71,15 @@
 	if g.gate.Abandon(t) {
 		return admission.Verdict{Decision: admission.Refuse, Code: refusal.DeadlinePassed}
 	}
-	return t.Verdict // decided while the timer fired
+	return t.Verdict // the gate decided just as the timer fired
 }
 
 func (g *Agent) arrive(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a := g.announce; a != nil && g.gate.Slots() > 0 {
-		// An instance can change its service; an entry that does not know
-		// yet must not get another service's answer.
+		// An instance can change its service. An entry that has not learned of it yet
+		// must not get an answer of the wrong service.
 		if string(ctx.Request.Header.Peek(header.Service)) != a.Market+"/"+a.Service {
 			return admission.Verdict{Decision: admission.Refuse, Code: refusal.NoUpstream}
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// mark tells the entry the outcome and how many slots are free.
+// mark sets the answer's headers for the outcome, its reason and the number of free slots.
 func (g *Agent) mark(ctx *fasthttp.RequestCtx, o header.Outcome, code refusal.Code) {
 	g.mu.Lock()
 	free := g.gate.Free()
@@ -109,8 +109,8 @@
 	}
 }
 
-// call is one request at the upstream. It outlives its caller when the caller's
-// deadline passes first.
+// call is one request to the upstream. It continues after the caller's deadline if the
+// upstream has not answered by then.
 type call struct {
 	req  *fasthttp.Request
 	resp *fasthttp.Response
@@ -138,7 +138,7 @@
 		refusal.Count(part, refusal.DeadlinePassed)
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 		g.mark(ctx, header.Unknown, refusal.DeadlinePassed)
-		go func() { // the late answer reaches nobody
+		go func() { // count and discard the late answer
 			<-c.done
 			lateAnswers.Inc()
 			c.free()
@@ -146,7 +146,7 @@
 	}
 }
 
-// run sends the request and frees its slot when the upstream has ended it.
+// run sends the request and frees its slot unless the upstream may still be running it.
 func (g *Agent) run(c *call, deadline time.Time) {
 	g.mu.Lock()
 	up := g.upstream
@@ -171,8 +171,8 @@
 	close(c.done)
 }
 
-// mayStillRun reports whether the upstream may go on with a request that ended
-// here with this error. A connection that the upstream closed has ended.
+// mayStillRun reports whether the upstream may still be running a request that failed with
+// err: only after a time-out, since a connection that the upstream closed ends its request.
 func mayStillRun(err error) bool {
 	var timeout net.Error
 	return !header.NeverSent(err) && (err == fasthttp.ErrTimeout || (errors.As(err, &timeout) && timeout.Timeout()))
@@ -190,8 +190,8 @@
 	g.mark(ctx, header.Done, "")
 }
 
-// answerError tells what is known: only a connection that was never made
-// excludes that the upstream saw the request.
+// answerError answers with the outcome that err allows. Only if the request was never sent is it
+// certain that the upstream did not run it.
 func (g *Agent) answerError(ctx *fasthttp.RequestCtx, err error) {
 	outcome, code := header.Unknown, refusal.UpstreamBroken
 	switch {
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -11,18 +11,18 @@
 	"github.com/waxwinghaven/waxwinghaven/runner"
 )
 
-// RunsAnnouncement says that the worker takes tasks of callers' jobs, see package
-// runner for its interface.
+// RunsAnnouncement announces that the worker accepts tasks of callers' jobs. Package runner
+// describes the interface.
 type RunsAnnouncement struct {
-	// Address is the IP number and port of the interface.
+	// Address is the IP address and port of the interface.
 	Address string `json:"address"`
-	// Incarnation is a name that no other start of the worker has borne.
+	// Incarnation identifies one start of the worker; no other start may use the same name.
 	Incarnation string `json:"incarnation"`
-	// Capacity is what these tasks may use. The worker keeps it apart from the
-	// capacity for the market's jobs: two books can't share one room.
+	// Capacity is what these tasks may use. It is separate from the capacity for the
+	// market's jobs, because the two are accounted for independently.
 	Capacity resource.Vector `json:"capacity"`
 	Labels   []string        `json:"labels,omitempty"`
-	// Sequence rises with each heartbeat of an incarnation.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64 `json:"sequence"`
 }
 
@@ -31,15 +31,16 @@
 		return refusal.New(refusal.Invalid, "give an IP number and port", "runs.address %q cannot be dialled", a.Address)
 	}
 	if a.Incarnation == "" {
-		return refusal.New(refusal.Invalid, "name each start of the worker anew", "runs.incarnation is missing")
+		return refusal.New(refusal.Invalid, "give each start of the worker a new name", "runs.incarnation is missing")
 	}
 	if a.Capacity.Negative() {
-		return refusal.New(refusal.Invalid, "give amounts of 0 or more", "runs.capacity is less than nothing")
+		return refusal.New(refusal.Invalid, "give amounts of 0 or more", "runs.capacity is negative")
 	}
 	return nil
 }
 
-// runs serves the worker's interface for callers' tasks, once it was announced.
+// runs manages the runner of callers' tasks. The runner starts when the worker's interface is
+// announced.
 type runs struct {
 	agent *Agent
 
@@ -51,15 +52,15 @@
 	ended   chan struct{}
 }
 
-// begin lets announcements start a runner, until the context ends.
+// begin allows announcements to start a runner until ctx ends.
 func (r *runs) begin(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ctx = ctx
 }
 
-// announced takes in a heartbeat. A worker at another address gets a runner of its own;
-// the old one ends first, since only one may speak for the agent.
+// announced passes a heartbeat to the runner. A worker at another address gets a new runner; the
+// old one ends first, since only one runner may act under the agent's name.
 func (r *runs) announced(a Announcement, leaving bool) {
 	if a.Runs == nil {
 		return
@@ -75,7 +76,8 @@
 	}
 }
 
-// at returns the runner for an address.
+// at returns the runner for an address and starts it if necessary. It returns nil, or the
+// current runner, if no runner may be started.
 func (r *runs) at(address string) *runner.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,8 +97,8 @@
 	return r.runner
 }
 
-// end ends the runner, if there is one. What runs goes on under its lease, for the
-// agent's next life to take over.
+// end stops the runner, if any. Its runs continue under their leases, and the agent's next
+// session takes them over. The caller holds r.mu.
 func (r *runs) end() {
 	if r.stop == nil {
 		return
@@ -105,7 +107,7 @@
 	<-r.ended
 }
 
-// wait returns once the runner has ended, after the context of begin did.
+// wait stops the runner and returns once it has ended.
 func (r *runs) wait() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
