--- a/agent/agent.go
+++ b/agent/agent.go
@@ -139,7 +139,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.announce == nil || g.announce.Address != a.Address {
-		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: Received the first announcement from an upstream.")
+		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: An upstream announced itself at a new address.")
 	}
 	g.announce, g.heard, g.silent = &a, now, false
 	if a.Leaving || g.withdrawn {
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,6 +1,7 @@
-// Package claim holds the records that make a request with an Idempotency-Key
-// run at most once: a key is claimed in the quorum's log before the request
-// is sent, and its answer is kept for whoever asks again.
+// Package claim holds the records that make a request with an Idempotency-Key run at most once.
+// A key is claimed in the quorum's log before the request is sent, and the answer is kept for
+// repeated requests. State is a deterministic state machine: every replica applies the same
+// claims and settlements with the log's clock.
 package claim
 
 import (
@@ -9,16 +10,16 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// Bounds of the records.
+// Limits of the records. Ages count from the claim.
 const (
 	MaxAnswerBytes = 4 << 10   // a larger answer is not kept
-	AnswerMS       = 3600_000  // milliseconds an answer is kept
-	TombstoneMS    = 86400_000 // milliseconds a key is known afterwards
+	AnswerMS       = 3600_000  // milliseconds for which an answer is kept
+	TombstoneMS    = 86400_000 // milliseconds for which a key is kept
 	MaxRecords     = 200_000   // keys with or without an answer
 	MaxAnswerTotal = 64 << 20  // bytes of kept answers
 )
 
-// Key is a digest of market, service and the caller's key.
+// Key is a digest of market, service and the caller's Idempotency-Key.
 type Key [16]byte
 
 // MakeKey returns the record key of a caller's Idempotency-Key.
@@ -27,8 +28,8 @@
 	return Key(d[:16])
 }
 
-// digest separates its parts by their lengths, so that two lists of parts
-// never run together into the same bytes.
+// digest hashes each part with its length, so that different lists of parts never give the
+// same input.
 func digest(parts ...string) [32]byte {
 	h := sha256.New()
 	for _, p := range parts {
@@ -39,7 +40,8 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// BodyDigest tells a request sent again from another one under the same key.
+// BodyDigest returns a digest that distinguishes a repeated request from a different one under
+// the same key.
 func BodyDigest(method, uri string, body []byte) uint64 {
 	d := digest(method, uri, string(body))
 	var n uint64
@@ -49,29 +51,29 @@
 	return n
 }
 
-// Answer is a caller's answer.
+// Answer is the kept answer to a request.
 type Answer struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"c"`
 	Body        []byte `msgpack:"b"`
 }
 
-// Phase is where a key stands.
+// Phase is the state of a key.
 type Phase uint8
 
 // The phases of keys.
 const (
-	Running Phase = iota // sent, or about to be
-	Finished
-	Lost // the outcome will never be known
+	Running  Phase = iota // the request is sent or about to be
+	Finished              // the request was run
+	Lost                  // the outcome is unknown for good
 )
 
-// Record is what is known of one key.
+// Record is the state of one key.
 type Record struct {
 	Body   uint64  `msgpack:"b"`
-	Token  string  `msgpack:"t"` // of the entry's request that holds the claim
+	Token  string  `msgpack:"t"` // id of the entry's request that holds the claim
 	Phase  Phase   `msgpack:"p"`
-	At     int64   `msgpack:"a"` // log clock, milliseconds
+	At     int64   `msgpack:"a"` // time of the claim, milliseconds of the log clock
 	Answer *Answer `msgpack:"r,omitempty"`
 }
 
@@ -82,15 +84,15 @@
 	Token string `msgpack:"t"`
 }
 
-// Result tells what a claim found: Granted, or the record that stands.
+// Result is the result of a claim: Granted, or the state of the existing record.
 type Result struct {
 	Granted bool    `msgpack:"g"`
 	Phase   Phase   `msgpack:"p"`
 	Answer  *Answer `msgpack:"a,omitempty"`
 }
 
-// Settle ends a claim: with an answer, as lost, or, with Release, as certainly
-// not run, so that the key may be claimed again.
+// Settle ends a claim: as finished with an Answer, as lost without one, or, with Release, as
+// certainly not run, so that the key may be claimed again.
 type Settle struct {
 	Key     Key     `msgpack:"k"`
 	Token   string  `msgpack:"t"`
@@ -98,14 +100,15 @@
 	Answer  *Answer `msgpack:"a,omitempty"`
 }
 
-// State is all records.
+// State holds all records.
 type State struct {
 	Records map[Key]*Record `msgpack:"r"`
-	Order   []aged          `msgpack:"o"` // oldest first
+	Order   []aged          `msgpack:"o"` // claims, oldest first
 	Bytes   int             `msgpack:"b"` // of kept answers
-	Dropped int             `msgpack:"d"` // leading part of Order without answers
+	Dropped int             `msgpack:"d"` // leading items of Order whose answers have expired
 }
 
+// aged is a claimed key with the time of its claim.
 type aged struct {
 	Key Key   `msgpack:"k"`
 	At  int64 `msgpack:"a"`
@@ -114,10 +117,10 @@
 // NewState returns the empty state.
 func NewState() *State { return &State{Records: make(map[Key]*Record)} }
 
-// ApplyClaim grants a key to the first that asks.
+// ApplyClaim grants a key to the first claim for it. now is the log clock in milliseconds.
 //
-// The same token asking again is the same entry resending a claim whose answer
-// it lost; nobody else holds that token, so it is granted again.
+// A second claim with the token of the running one is granted too: the token is unique to one
+// request, so the entry is resending a claim whose answer it did not get.
 func (s *State) ApplyClaim(c Claim, now int64) (Result, error) {
 	s.expire(now)
 	r := s.Records[c.Key]
@@ -125,7 +128,7 @@
 	case r == nil:
 		return s.grant(c, now)
 	case r.Body != c.Body:
-		return Result{}, refusal.New(refusal.KeyMismatch, "give every new request a key of its own", "this Idempotency-Key was used for another request")
+		return Result{}, refusal.New(refusal.KeyMismatch, "give every new request a new key", "this Idempotency-Key was used for another request")
 	case r.Phase == Running && r.Token == c.Token:
 		return Result{Granted: true}, nil
 	case r.Phase == Finished && r.Answer == nil:
@@ -136,16 +139,17 @@
 
 func (s *State) grant(c Claim, now int64) (Result, error) {
 	if len(s.Records) >= MaxRecords {
-		// Dropping a young record would let its request run twice, so a new
-		// one is refused instead.
-		return Result{}, refusal.New(refusal.KeyStoreFull, "wait, or send requests that need no key without one", "%d keys are being kept", MaxRecords)
+		// Evicting a record that has not expired would let its request run twice, so
+		// the new claim is refused instead.
+		return Result{}, refusal.New(refusal.KeyStoreFull, "wait, or send requests that need no key without one", "the store is full with %d keys", MaxRecords)
 	}
 	s.Records[c.Key] = &Record{Body: c.Body, Token: c.Token, At: now}
 	s.Order = append(s.Order, aged{c.Key, now})
 	return Result{Granted: true}, nil
 }
 
-// ApplySettle ends a claim. Only the token that holds it can.
+// ApplySettle ends a claim and reports whether it did. Only a settlement with the token that
+// holds the running claim has an effect.
 func (s *State) ApplySettle(c Settle) bool {
 	r := s.Records[c.Key]
 	if r == nil || r.Token != c.Token || r.Phase != Running {
@@ -163,6 +167,7 @@
 	return true
 }
 
+// keep stores an answer in its record unless the answer or the store would be too large.
 func (s *State) keep(r *Record, a *Answer) {
 	if len(a.Body) > MaxAnswerBytes || s.Bytes+len(a.Body) > MaxAnswerTotal {
 		return
@@ -178,7 +183,7 @@
 	}
 }
 
-// expire drops answers, then keys, that are past their time.
+// expire removes keys and answers that are older than their retention times.
 func (s *State) expire(now int64) {
 	for len(s.Order) > 0 && s.Order[0].At <= now-TombstoneMS {
 		s.forget(s.Order[0])
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -12,24 +12,24 @@
 	return s.ApplyClaim(Claim{Key: MakeKey("m", "s", key), Body: body, Token: token}, now)
 }
 
-// A caller loses its answer and sends the request again through another entry.
-// Only the first claim may run; the second waits, then gets the first's answer.
+// A caller does not get its answer and repeats the request through another entry. Only the
+// first claim may be granted; the second finds it running and later gets its answer.
 func TestKeyRunsOnceAndReplays(t *testing.T) {
 	s := NewState()
 	if r, err := claimIt(t, s, "k", 1, "e1", 0); err != nil || !r.Granted {
 		t.Fatalf("first: %+v %v", r, err)
 	}
 	if r, _ := claimIt(t, s, "k", 1, "e1", 1); !r.Granted {
-		t.Fatal("the same entry, resending its claim, was not granted again")
+		t.Fatal("a claim resent by the same entry was not granted")
 	}
 	if r, _ := claimIt(t, s, "k", 1, "e2", 2); r.Granted || r.Phase != Running {
-		t.Fatalf("another entry while the first runs: %+v", r)
+		t.Fatalf("another entry's claim while the first runs: %+v", r)
 	}
 	if _, err := claimIt(t, s, "k", 2, "e2", 2); !refusal.Is(err, refusal.KeyMismatch) {
 		t.Fatalf("another body under the same key: %v", err)
 	}
 	if s.ApplySettle(Settle{Key: MakeKey("m", "s", "k"), Token: "e2", Release: true}) {
-		t.Fatal("a stranger released the claim")
+		t.Fatal("a token that does not hold the claim released it")
 	}
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "k"), Token: "e1", Answer: &Answer{Status: 201, Body: []byte("slot 7")}})
 	if r, _ := claimIt(t, s, "k", 1, "e2", 3); r.Granted || r.Answer == nil || string(r.Answer.Body) != "slot 7" {
@@ -37,14 +37,14 @@
 	}
 }
 
-// The outcome was not known, or certainly not run: the first must never run
-// again, the second may.
+// A request whose outcome is unknown must never run again under its key; one that was certainly
+// not run may.
 func TestUnknownStaysUnknownAndNotRunIsFreed(t *testing.T) {
 	s := NewState()
 	claimIt(t, s, "lost", 1, "e1", 0)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "lost"), Token: "e1"})
 	if r, _ := claimIt(t, s, "lost", 1, "e2", 1); r.Granted || r.Phase != Lost {
-		t.Fatalf("a lost outcome: %+v", r)
+		t.Fatalf("a key settled as lost: %+v", r)
 	}
 	claimIt(t, s, "free", 1, "e1", 0)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "free"), Token: "e1", Release: true})
@@ -53,8 +53,8 @@
 	}
 }
 
-// Answers are kept for an hour and keys for a day. In between the caller is told
-// that the request was run, and never runs it again.
+// Answers are kept for an hour and keys for a day. In between, a repeated request must be
+// refused with the reason that it was run, and must not run again.
 func TestOldKeyIsRefusedNotRunAgain(t *testing.T) {
 	s := NewState()
 	claimIt(t, s, "k", 1, "e1", 0)
@@ -63,26 +63,26 @@
 		t.Fatalf("after an hour: %v, %d bytes kept", err, s.Bytes)
 	}
 	if r, _ := claimIt(t, s, "k", 1, "e2", TombstoneMS+1); !r.Granted {
-		t.Fatal("after a day the key is new")
+		t.Fatal("after a day the key can't be claimed again")
 	}
 }
 
-// The store is bounded. When it is full new keys are refused: dropping a young
-// record would let its request run twice.
+// A full store must refuse new keys: evicting a record that has not expired would let its
+// request run twice.
 func TestFullStoreRefusesNewKeys(t *testing.T) {
 	s := NewState()
 	for i := range MaxRecords {
 		claimIt(t, s, fmt.Sprint(i), 1, "e", 0)
 	}
 	if _, err := claimIt(t, s, "more", 1, "e", 1); !refusal.Is(err, refusal.KeyStoreFull) {
-		t.Fatalf("one more: %v", err)
+		t.Fatalf("a new key in a full store: %v", err)
 	}
 	if r, _ := claimIt(t, s, "7", 1, "other", 1); r.Granted {
-		t.Fatal("an old key ran again in a full store")
+		t.Fatal("a claimed key was granted again in a full store")
 	}
 	big := make([]byte, MaxAnswerBytes+1)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "1"), Token: "e", Answer: &Answer{Body: big}})
 	if _, err := claimIt(t, s, "1", 1, "other", 2); !refusal.Is(err, refusal.KeyExpired) {
-		t.Fatalf("an answer too large to keep: %v", err)
+		t.Fatalf("after an answer too large to keep: %v", err)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the process that callers reach: it finds the service, chooses
-// an agent, retries what may be retried, and tells the outcome truthfully.
+// Package entry implements the process that callers connect to. It finds the service of a
+// request, chooses an agent, retries where a retry is safe, and reports the outcome: done, not
+// run or unknown. Jobs is its gateway for callers' jobs.
 package entry
 
 import (
@@ -21,7 +22,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// part prefixes this part's log lines and labels its counters.
+// part prefixes the entry's log lines and labels its counters.
 const part = "entry"
 
 // Entry is one entry instance.
@@ -37,7 +38,7 @@
 	rng     *rand.Rand
 
 	started  time.Time
-	fresh    atomic.Int64 // when the newest good sync was sent, since started
+	fresh    atomic.Int64 // when the latest successful sync was sent, nanoseconds since started
 	synced   atomic.Bool
 	draining atomic.Bool
 	requests atomic.Int64
@@ -46,7 +47,7 @@
 	lastErr  string
 }
 
-// New returns an entry that is not yet running.
+// New returns an entry that is not running yet.
 func New(set *settings.Settings) (*Entry, error) {
 	tlsConfig, err := transport.LoadTLS(transport.KeysOf(set))
 	if err != nil {
@@ -59,8 +60,9 @@
 	return e, nil
 }
 
-// Run serves until the context ends. Then it tells the balancer that it is not
-// ready, goes on serving for a while, and closes when all requests have ended.
+// Run serves until ctx ends. It then reports to the load balancer that it is not ready,
+// continues to serve for the configured time, and returns when all requests have ended or the
+// drain time is over, and all claims are settled.
 func (e *Entry) Run(ctx context.Context) error {
 	ln, err := transport.Listen(e.set.Address(e.set.Entry.Port))
 	if err != nil {
@@ -95,9 +97,9 @@
 	drainPoll  = 20 * time.Millisecond
 )
 
-// drain waits until the balancer has turned away and all requests have ended.
-// Answers carry "Connection: close" meanwhile, so that callers with open
-// connections leave by themselves and none is reset.
+// drain waits until the load balancer has stopped sending requests and all requests have ended.
+// Meanwhile answers carry "Connection: close", so that callers close their connections
+// themselves and none is reset.
 func (e *Entry) drain() {
 	e.draining.Store(true)
 	leave := time.Now().Add(e.set.Entry.LeaveWait.Duration)
@@ -123,8 +125,8 @@
 	}
 }
 
-// syncLoop asks for the news, from any control replica that is in contact with
-// the majority.
+// syncLoop periodically fetches changed markets and members from a control replica that is in
+// contact with the majority.
 func (e *Entry) syncLoop(ctx context.Context) error {
 	tick := time.NewTicker(e.set.Entry.Sync.Duration)
 	defer tick.Stop()
@@ -162,15 +164,17 @@
 	r, ok := refusal.Of(err)
 	if ok && e.lastErr != string(r.Code) {
 		e.lastErr = string(r.Code)
-		logrus.Warnf("entry: Could not get news: %v.", err)
+		logrus.Warnf("entry: Could not sync with the control: %v.", err)
 	}
 }
 
-// cutOff reports whether the entry can no longer know what is in force.
+// cutOff reports whether the latest successful sync is so old that the entry can't know which
+// configuration is in force.
 func (e *Entry) cutOff() bool {
 	return time.Since(e.started)-time.Duration(e.fresh.Load()) > e.set.Entry.CutOffAfter.Duration
 }
 
+// budget returns the retry budget of the route's service. The caller holds e.mu.
 func (e *Entry) budget(route routing.Route) *routing.Budget {
 	key := route.Market + "/" + route.Service.Name
 	b := e.budgets[key]
--- a/entry/ids.go
+++ b/entry/ids.go
@@ -7,8 +7,7 @@
 	"sync/atomic"
 )
 
-// ids makes request identities that no other entry, and no earlier start of this
-// one, uses.
+// ids generates request ids that are unique across entries and restarts of an entry.
 type ids struct {
 	prefix string
 	next   *atomic.Uint64
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -15,27 +15,26 @@
 )
 
 const (
-	// watchReplicas is the interval at which the replica set is asked for.
+	// watchReplicas is the interval at which the replica set is fetched.
 	watchReplicas = 2 * time.Second
 	watchTimeout  = time.Second
-	// replyMargin is kept of a caller's time for the way back.
+	// replyMargin is reserved from a caller's time-out for sending the answer.
 	replyMargin = 50 * time.Millisecond
-	// patience is how long a call that was certainly not taken is tried: most
-	// elections end within it, and past it the caller is told when to come
-	// back.
+	// patience is how long a call that was certainly not accepted is retried. Most
+	// elections end within it; after it the caller gets an error with a retry time.
 	patience = 700 * time.Millisecond
 )
 
-// Jobs passes callers' jobs on to the control. It holds no state of its own
-// that could be outdated: queues and jobs are looked up by the leader.
+// Jobs is the gateway that forwards callers' jobs to the control. It caches no queues or jobs
+// that could be outdated: the leader looks them up. It is safe for concurrent use.
 type Jobs struct {
 	ctl    *control.Client
-	answer atomic.Int64 // when a replica last answered, since started
+	answer atomic.Int64 // when a replica last answered, nanoseconds since begun
 	begun  time.Time
 	order  answerOrder
 }
 
-// NewJobs returns a gateway that is not yet running.
+// NewJobs returns a gateway that is not running yet.
 func NewJobs(set *settings.Settings) (*Jobs, error) {
 	tlsConfig, err := transport.LoadTLS(transport.KeysOf(set))
 	if err != nil {
@@ -47,8 +46,7 @@
 	return &Jobs{ctl: ctl, begun: time.Now()}, nil
 }
 
-// Run keeps the addresses of the control replicas up to date until the context
-// ends.
+// Run keeps the addresses of the control replicas up to date until ctx ends.
 func (j *Jobs) Run(ctx context.Context) error {
 	tick := time.NewTicker(watchReplicas)
 	defer tick.Stop()
@@ -66,26 +64,26 @@
 	var a control.ReplicasAnswer
 	if err := j.ctl.Call(control.PathReplicas, watchTimeout, &control.Empty{}, &a); err != nil {
 		refusal.Count(part, refusal.Unreachable)
-		logrus.Warnf("entry: No control replica told of the others: %v.", err)
+		logrus.Warnf("entry: Could not fetch the control replicas: %v.", err)
 		return
 	}
 	j.ctl.Learn(a.Replicas)
 	j.answer.Store(int64(time.Since(j.begun)))
 }
 
-// readyFor is how long after a replica's last answer an entry calls itself
-// ready: two tries may fail.
+// readyFor is how long the gateway is ready after a replica's last answer. Two fetches in
+// succession may fail.
 const readyFor = 3 * watchReplicas
 
-// Ready reports whether a control replica answered lately.
+// Ready reports whether a control replica has answered recently.
 func (j *Jobs) Ready() bool {
 	at := time.Duration(j.answer.Load())
 	return at > 0 && time.Since(j.begun)-at < readyFor
 }
 
-// Submit hands a job in and returns once it is committed. After an error that is
-// UnknownOutcome or Unreachable the job may have been taken; the same call may be
-// made again, through any entry.
+// Submit submits a job and returns once it is committed. After the error UnknownOutcome or
+// Unreachable the job may have been accepted; the same call may be repeated through any entry.
+// The call takes at most the time within.
 func (j *Jobs) Submit(host, path string, spec jobs.Spec, within time.Duration) error {
 	if err := spec.Validate(); err != nil {
 		return err
@@ -93,7 +91,9 @@
 	return j.ctl.Call(control.PathSubmitJob, within-replyMargin, &control.SubmitJob{Host: host, Path: path, Spec: spec}, nil)
 }
 
-// LookUp tells where a job stands, or how long a queue is.
+// LookUp returns the state of a job or the length of a queue. If a later call was answered by an
+// older version of the configuration, the answer is withheld and the error is NoQuorum with a
+// retry time.
 func (j *Jobs) LookUp(host, path string, within time.Duration) (control.LookUpAnswer, error) {
 	arrived := time.Now()
 	var a control.LookUpAnswer
@@ -104,23 +104,23 @@
 	}
 	if !j.order.admit(arrived, version) {
 		logrus.WithFields(logrus.Fields{"job": path, "version": version, "held_ms": time.Since(arrived).Milliseconds()}).
-			Info("entry: Withheld an answer: later calls were answered by an older version.")
+			Info("entry: Withheld an answer: its version contradicts answers to other calls.")
 		return control.LookUpAnswer{}, outdated()
 	}
 	return a, err
 }
 
-// askAgain is when a caller may come back whose answer was withheld: the leader answers
-// again by then.
+// askAgain is the retry time for a caller whose answer was withheld. The leader answers
+// calls again by then.
 const askAgain = 50 * time.Millisecond
 
 func outdated() error {
-	e := refusal.New(refusal.NoQuorum, "ask again", "the configuration changed while the call was held")
+	e := refusal.New(refusal.NoQuorum, "ask again", "the configuration changed while the call was waiting")
 	e.RetryAfter = refusal.Spread(askAgain)
 	return e
 }
 
-// Cancel ends a job and returns once that is committed.
+// Cancel cancels a job and returns once that is committed.
 func (j *Jobs) Cancel(host, path string, within time.Duration) error {
 	return j.ctl.Call(control.PathCancelJob, within-replyMargin, &control.JobCall{Host: host, Path: path}, nil)
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -14,16 +14,16 @@
 const (
 	maxKey        = 256 // bytes
 	settleTimeout = 10 * time.Second
-	// runningPoll is how often a repeated request asks whether the first one
-	// has its answer.
+	// runningPoll is the interval at which a repeated request checks whether the first
+	// one has been answered.
 	runningPoll = 100 * time.Millisecond
-	// keyRetryAfter is told when the first request still runs.
+	// keyRetryAfter is the retry time for a caller while the first request still runs.
 	keyRetryAfter = time.Second
 )
 
-// handleKeyed runs a request with an Idempotency-Key at most once: the key is
-// claimed in the quorum first. Whoever finds it claimed gets the first answer,
-// or is told that the outcome is not known.
+// handleKeyed runs a request with an Idempotency-Key at most once by claiming the key in the
+// quorum first. If the key is already claimed, the caller gets the answer of the first request
+// or the outcome unknown.
 func (e *Entry) handleKeyed(x *exchange, key string) verdict {
 	if len(key) > maxKey {
 		return verdict{outcome: header.NotRun, code: refusal.Invalid}
@@ -54,9 +54,9 @@
 	return a.Result, err
 }
 
-// unclaimed answers when no claim could be confirmed. The request was not sent,
-// and nobody else holds this token, so it will not run. The claim may still be
-// committed; it is given back so that the key does not stay blocked.
+// unclaimed returns the verdict for a claim that was refused or not confirmed. The request was
+// not sent and no other request has this token, so it won't run. An unconfirmed claim may still
+// be committed; it is released so that the key does not stay blocked.
 func (e *Entry) unclaimed(c claim.Claim, err error) verdict {
 	if r, ok := refusal.Of(err); ok {
 		switch r.Code {
@@ -70,7 +70,8 @@
 	return verdict{header.NotRun, refusal.KeyUnconfirmed, time.Second}
 }
 
-// replay answers from the first request's record, if it has ended.
+// replay answers from the record of the first request. It returns false while that request
+// still runs.
 func (x *exchange) replay(r claim.Result) (verdict, bool) {
 	switch {
 	case r.Phase == claim.Lost:
@@ -99,21 +100,21 @@
 	return v
 }
 
-// keptBody copies a body that is small enough to be kept in the quorum. Of a
-// larger one only the fact is kept; a marker longer than the bound says so.
+// keptBody returns a copy of the body to store in the quorum. A larger body is cut to one byte
+// over the limit: the claim state then stores no answer, only that the request was run.
 func keptBody(r *fasthttp.Response) []byte {
 	body := r.Body()
 	return append([]byte(nil), body[:min(len(body), claim.MaxAnswerBytes+1)]...)
 }
 
-// settle ends a claim in the background: the caller's answer does not wait for
-// it. If it is lost, the key stays claimed and a repeat is told "unknown".
+// settle ends a claim in the background, so that the caller's answer does not wait for it. If
+// the call is lost, the key stays claimed and a repeated request gets the outcome unknown.
 func (e *Entry) settle(s claim.Settle) {
 	e.settles.Add(1)
 	go func() {
 		defer e.settles.Done()
 		if err := e.ctl.Call(control.PathSettle, settleTimeout, &s, nil); err != nil {
-			logrus.Warnf("entry: Could not settle a key: %v.", err)
+			logrus.Warnf("entry: Could not settle a claim: %v.", err)
 		}
 	}()
 }
--- a/entry/order.go
+++ b/entry/order.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// crossing is how much later than another a call must have arrived to have come
-	// after it. Two calls closer than that may have been sent in either order: a
-	// caller's way to the instance takes a few milliseconds, and its retransmission
-	// some tens.
+	// crossing is the difference of arrival times above which two calls count as ordered.
+	// Calls that arrive closer together may have been sent in either order: the network
+	// path from a caller takes a few milliseconds, and a retransmission some tens.
 	crossing = 100 * time.Millisecond
-	// orderMemory is how long the answers of a version are remembered: longer than any
-	// caller was seen to wait for one answer (3 s).
+	// orderMemory is how long a version's answers are remembered. It is longer than the
+	// longest observed time that a caller waits for one answer (3 s).
 	orderMemory = 30 * time.Second
 )
 
-// answerOrder keeps an instance's answers from going back in the order in which the
-// calls came. A look-up that is held while nobody leads may be answered by a version of
-// the configuration that was committed after a later call had its answer by an older
-// one. Each answer is right when it is given, but whoever goes by when the calls were
-// sent sees the instance go back from the newer version to the older. Such an answer is
-// withheld, and the caller asks again: nothing has run. It is rare, a change of the
-// configuration just after a change of leader, so callers lose next to nothing.
+// answerOrder ensures that the configuration versions in an instance's answers do not decrease
+// in the order in which the calls arrived. A look-up that waits while there is no leader may be
+// answered by a version that was committed after a later call was answered by an older one.
+// Each answer is correct when given, but in the order of sending the instance appears to go
+// back to the older version. Such an answer is withheld and the caller retries, which is safe
+// because a look-up runs nothing. It happens only if the configuration changes just after a
+// change of leader, so that few calls are affected.
 type answerOrder struct {
 	mu    sync.Mutex
 	spans []versionSpan
 }
 
-// versionSpan is when the calls arrived that one version answered.
+// versionSpan holds the first and last arrival times of the calls answered by one version.
 type versionSpan struct {
 	version     uint64
 	first, last time.Time
 }
 
-// admit reports whether a call that arrived at a time may be answered by a version, and
-// if so remembers it. A version of 0 says nothing of the configuration.
+// admit reports whether a call that arrived at the given time may be answered by a version, and
+// records the answer if so. Version 0 marks an answer that does not depend on the
+// configuration; it is always admitted.
 func (o *answerOrder) admit(arrived time.Time, version uint64) bool {
 	if version == 0 {
 		return true
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -11,32 +11,32 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// The leader is cut off. A look-up that comes at 1.553 s is held, since nobody leads. One
-// that comes at 2.003 is answered at once, by version 3. Version 7 is committed, and the
-// first is answered at 2.241 by it: by when they were sent, the instance went back from
+// The leader is partitioned. A look-up that arrives at 1.553 s waits, since there is no leader.
+// One that arrives at 2.003 s is answered immediately by version 3. Version 7 is committed and
+// answers the first look-up at 2.241 s: in the order of sending, the instance went back from
 // version 7 to 3.
 func TestAHeldLookUpIsNotAnsweredByAVersionNewerThanLaterCallsGot(t *testing.T) {
 	var o answerOrder
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	if !o.admit(at(1400), 3) || !o.admit(at(2003), 3) {
-		t.Fatal("an answer by the version in force is withheld")
+		t.Fatal("an answer by the current version is withheld")
 	}
 	if o.admit(at(1553), 7) {
-		t.Error("the held call is answered by a version that a later call was not")
+		t.Error("the waiting call is answered by a newer version than a later call")
 	}
 	if !o.admit(at(1553), 3) {
-		t.Error("answered by the same version it is withheld")
+		t.Error("an answer by the same version as the later call's is withheld")
 	}
 	if !o.admit(at(2250), 7) {
 		t.Error("a call after the change is withheld")
 	}
 	if o.admit(at(2400), 3) {
-		t.Error("a call after the change is answered by the version before it")
+		t.Error("a call after the change is answered by the previous version")
 	}
 }
 
-// Two calls that arrive within a tenth of a second of each other have no order that
-// anybody could tell: a change between them must not cost either an answer.
+// Calls that arrive within 100 ms of each other may have been sent in either order. A
+// configuration change between them must not cause either answer to be withheld.
 func TestCallsThatCrossMayBeAnsweredByEitherVersion(t *testing.T) {
 	var o answerOrder
 	start := time.Unix(0, 0)
@@ -44,11 +44,11 @@
 		t.Error("one of them is withheld")
 	}
 	if !o.admit(start, 0) {
-		t.Error("an answer that says nothing of the configuration is withheld")
+		t.Error("an answer that does not depend on the configuration is withheld")
 	}
 }
 
-// Versions come by the hundred in a day. What is remembered of them must not grow.
+// There are hundreds of versions a day. The record of them must stay bounded.
 func TestOldVersionsAreForgotten(t *testing.T) {
 	var o answerOrder
 	start := time.Unix(0, 0)
@@ -60,10 +60,10 @@
 	}
 }
 
-// The same through a whole gateway: the leader holds the first look-up back, answers a
-// later one by version 3, and then the first by version 7. The first caller is told to
-// ask again, and its next call is answered by version 7. Refusals count like answers:
-// that a queue is not there tells a version too.
+// The leader delays one look-up, answers a later one by version 3 and then the first by version
+// 7. The gateway must tell the first caller to retry, and the next call must be answered by
+// version 7. The later call is refused: a refusal for a missing queue carries a version too and
+// must count like an answer.
 func TestAGatewayWithholdsTheAnswerOfAHeldLookUp(t *testing.T) {
 	release, held := make(chan struct{}), make(chan struct{})
 	version := map[string]uint64{"/queue/held": 7, "/queue/later": 3, "/queue/again": 7}
@@ -91,21 +91,21 @@
 		first <- err
 	}()
 	<-held
-	time.Sleep(crossing + crossing/2) // at least: more changes nothing
+	time.Sleep(crossing + crossing/2) // a longer sleep does not change the result
 	if _, err := j.LookUp("a.example", "/queue/later", 3*time.Second); !refusal.Is(err, refusal.NoRoute) {
-		t.Fatalf("the later call got %v", err)
+		t.Fatalf("the later call: %v", err)
 	}
 	close(release)
 	err := <-first
 	if e, ok := refusal.Of(err); !ok || e.Code != refusal.NoQuorum || e.RetryAfter <= 0 {
-		t.Errorf("the held call got %v", err)
+		t.Errorf("the waiting call: %v", err)
 	}
 	if a, err := j.LookUp("a.example", "/queue/again", 3*time.Second); err != nil || a.Version != 7 {
-		t.Errorf("the call after got %+v, %v", a, err)
+		t.Errorf("the call after the change: %+v, %v", a, err)
 	}
 }
 
-// gatewayTo returns a gateway whose only replica is a server of the test's.
+// gatewayTo returns a gateway whose only control replica is the given server.
 func gatewayTo(t *testing.T, server *transport.Server) *Jobs {
 	t.Helper()
 	ln, err := transport.Listen("127.0.0.1:0")
--- a/entry/request.go
+++ b/entry/request.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxTries bounds the agents that one request is sent to.
+	// maxTries is the greatest number of agents that one request is sent to.
 	maxTries = 3
-	// minTry is the least time left for which a request is sent at all.
+	// minTry is the least time left with which a request is sent again.
 	minTry = 2 * time.Millisecond
-	// answerGrace is how long past the deadline an agent's own word that it
-	// has passed is waited for.
+	// answerGrace is how long past the deadline the entry waits for the agent to report
+	// that the deadline has passed.
 	answerGrace = 50 * time.Millisecond
 )
 
@@ -29,7 +29,7 @@
 	header.Unknown: metrics.NewCounter(`waxwinghaven_requests_total{outcome="unknown"}`),
 }
 
-// exchange is one caller's request on its way.
+// exchange is a caller's request in progress.
 type exchange struct {
 	ctx        *fasthttp.RequestCtx
 	route      routing.Route
@@ -41,7 +41,7 @@
 	mayHaveRun bool               // an earlier try's outcome is unknown
 }
 
-// verdict is what is known of a request after a try.
+// verdict is the result of a try or of a whole request.
 type verdict struct {
 	outcome    header.Outcome
 	code       refusal.Code
@@ -67,6 +67,7 @@
 	}
 }
 
+// handle runs one request and returns its verdict.
 func (e *Entry) handle(x *exchange) verdict {
 	if v, ok := e.prepare(x); !ok {
 		return v
@@ -81,7 +82,7 @@
 	return e.send(x)
 }
 
-// prepare finds the service and the deadline, or says why there is none.
+// prepare sets the route and the deadline, or returns false and the reason for a refusal.
 func (e *Entry) prepare(x *exchange) (verdict, bool) {
 	e.mu.Lock()
 	route, ok := e.table.Find(string(x.ctx.Host()), string(x.ctx.Path()))
@@ -108,23 +109,23 @@
 	}
 	ms, err := strconv.ParseInt(string(raw), 10, 32)
 	if err != nil || ms <= 0 {
-		return 0, refusal.New(refusal.Invalid, "give milliseconds above 0", "%s %q is not a time", header.Timeout, raw)
+		return 0, refusal.New(refusal.Invalid, "give milliseconds above 0", "%s %q is not a valid time-out", header.Timeout, raw)
 	}
 	return min(time.Duration(ms)*time.Millisecond, s.Timeout()), nil
 }
 
-// isReadOnly reports whether HTTP calls the method safe.
+// isReadOnly reports whether the method is safe as HTTP defines it.
 func isReadOnly(ctx *fasthttp.RequestCtx) bool {
 	return ctx.IsGet() || ctx.IsHead() || ctx.IsOptions()
 }
 
-// isIdempotent reports whether HTTP calls the method idempotent.
+// isIdempotent reports whether the method is idempotent as HTTP defines it.
 func isIdempotent(ctx *fasthttp.RequestCtx) bool {
 	return isReadOnly(ctx) || ctx.IsPut() || ctx.IsDelete()
 }
 
-// send tries agents until one has done the request, nothing more may be tried,
-// or the time is up.
+// send tries agents until one has done the request, no more tries are allowed, or the deadline
+// has passed.
 func (e *Entry) send(x *exchange) verdict {
 	if time.Until(x.deadline) <= 0 {
 		return verdict{outcome: header.NotRun, code: refusal.DeadlinePassed}
@@ -145,9 +146,8 @@
 	}
 }
 
-// overall is what is known of all tries together. The last may certainly not have
-// run, but if an earlier one broke off, the request may have run there: "not run"
-// would be a lie.
+// overall returns the verdict over all tries. Even if the last try was certainly not run, the
+// outcome is unknown if that of an earlier try is: the request may have run there.
 func (x *exchange) overall(last verdict) verdict {
 	if x.mayHaveRun {
 		last.outcome = header.Unknown
@@ -155,9 +155,9 @@
 	return last
 }
 
-// mayRetry allows a second try of what certainly was not run, and of what may
-// be run twice without harm. A non-idempotent request of unknown outcome is
-// never sent again: it may have been run.
+// mayRetry reports whether a request may be sent again: if it was certainly not run, or if it
+// may safely run twice. A non-idempotent request of unknown outcome is never sent again, since
+// it may have run. A retry is charged to the service's retry budget.
 func (e *Entry) mayRetry(x *exchange, v verdict) bool {
 	repeatable := isIdempotent(x.ctx) && !x.keyed && x.route.Service.Retry != market.RetryNever
 	if v.outcome == header.Unknown && !repeatable {
@@ -208,6 +208,7 @@
 	return e.read(x)
 }
 
+// fill builds the request to the agent.
 func (e *Entry) fill(req *fasthttp.Request, x *exchange, choice routing.Choice) {
 	x.ctx.Request.CopyTo(req)
 	header.FromCaller(&req.Header)
@@ -217,7 +218,7 @@
 	e.rpc.Address(req, choice.Address)
 }
 
-// failed reads what an error on the way to the agent leaves open.
+// failed returns the verdict and the report for an error of the call to the agent.
 func failed(err error) (verdict, routing.Report) {
 	if header.NeverSent(err) {
 		return verdict{outcome: header.NotRun, code: refusal.SendFailed}, routing.Report{Free: -1, Unreached: err != fasthttp.ErrNoFreeConns}
@@ -229,11 +230,11 @@
 	return verdict{outcome: header.Unknown, code: code}, routing.Report{Free: -1, Failed: true}
 }
 
-// read takes an agent's answer, but only one that names this very request.
+// read evaluates an agent's answer. It rejects an answer that carries another request's id.
 func (e *Entry) read(x *exchange) (verdict, routing.Report) {
 	h := &x.resp.Header
 	if !bytes.Equal(h.Peek(header.ID), []byte(x.id)) {
-		// An answer to another request must never reach this caller.
+		// The answer belongs to another request and must not reach this caller.
 		return verdict{outcome: header.Unknown, code: refusal.AnswerMixed}, routing.Report{Free: -1, Failed: true}
 	}
 	report := routing.Report{Free: intOr(h.Peek(header.Free), -1)}
@@ -256,7 +257,7 @@
 	return v, report
 }
 
-// pass hands the upstream's answer to the caller.
+// pass copies the upstream's answer to the caller's response.
 func (x *exchange) pass() {
 	closing := x.ctx.Response.ConnectionClose()
 	header.FromUpstream(&x.resp.Header)
@@ -274,7 +275,7 @@
 	return n
 }
 
-// statusOf maps a verdict to the status a caller's HTTP library understands.
+// statusOf returns the HTTP status for a verdict that is not done.
 func statusOf(v verdict) int {
 	switch v.code {
 	case refusal.NoRoute:
@@ -296,9 +297,8 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// writeRefusal answers a caller whose request was not done, at once, and tells
-// when to come back. The time is spread, so that callers who were refused
-// together do not come back together.
+// writeRefusal answers a caller whose request was not done and sets the retry time. The time
+// is randomised, so that callers that were refused together do not retry together.
 func writeRefusal(ctx *fasthttp.RequestCtx, v verdict) {
 	closing := ctx.Response.ConnectionClose()
 	ctx.Response.Reset()
--- a/entry/retry_test.go
+++ b/entry/retry_test.go
@@ -13,7 +13,8 @@
 	"github.com/waxwinghaven/waxwinghaven/settings"
 )
 
-// script is what the agents answer, one word a try, whichever of them is asked.
+// script lists the agents' answers, one for each try, whichever agent gets it. The last is
+// repeated.
 type script struct {
 	mu    sync.Mutex
 	words []string
@@ -48,7 +49,7 @@
 	}
 }
 
-// entryWith returns an entry whose service has three agents that play a script.
+// entryWith returns an entry whose service has three agents that answer by a script.
 func entryWith(t *testing.T, s *script, retry market.RetryRule) *Entry {
 	t.Helper()
 	set, err := settings.Parse("test", "[instance]\nname=\"e\"\ndata_centre=\"dc\"\nip=\"127.0.0.1\"\n[peers]\ncontrol=[\"127.0.0.1:1\"]\n[entry]\nport=7105\nhealth_port=7106\n")
@@ -74,10 +75,10 @@
 	return e
 }
 
-// Agents refuse, break off, or answer to somebody else. A caller is told "not run"
-// only if no try can have run: a lookup that broke off at one upstream and was
-// refused by the next may have run at the first. A booking is sent again only
-// after a certain "not run". Another's answer reaches nobody.
+// Agents refuse, close the connection, or answer with another request's id. The outcome must be
+// not-run only if no try can have run: a GET whose connection broke at one agent and that the
+// next one refused may have run at the first. A POST must be sent again only after a certain
+// not-run. An answer to another request must not reach the caller.
 func TestRetriesAndWhatIsToldOfThem(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -87,14 +88,14 @@
 		outcome header.Outcome
 		tries   int
 	}{
-		{"a lookup is tried again", "GET", market.RetrySafe, []string{"cut", "done"}, header.Done, 2},
-		{"refused after it may have run", "GET", market.RetrySafe, []string{"cut", "not-run"}, header.Unknown, 3},
-		{"refused everywhere", "GET", market.RetrySafe, []string{"not-run"}, header.NotRun, 3},
-		{"never again", "GET", market.RetryNever, []string{"cut", "done"}, header.Unknown, 1},
-		{"a booking that broke off", "POST", market.RetrySafe, []string{"cut", "done"}, header.Unknown, 1},
-		{"a booking that was refused", "POST", market.RetrySafe, []string{"not-run", "done"}, header.Done, 2},
-		{"refused, then broke off", "POST", market.RetrySafe, []string{"not-run", "cut", "done"}, header.Unknown, 2},
-		{"another's answer", "POST", market.RetrySafe, []string{"mixed", "done"}, header.Unknown, 1},
+		{"a GET is retried", "GET", market.RetrySafe, []string{"cut", "done"}, header.Done, 2},
+		{"refused after a try of unknown outcome", "GET", market.RetrySafe, []string{"cut", "not-run"}, header.Unknown, 3},
+		{"refused by all agents", "GET", market.RetrySafe, []string{"not-run"}, header.NotRun, 3},
+		{"retry rule never", "GET", market.RetryNever, []string{"cut", "done"}, header.Unknown, 1},
+		{"a POST whose connection broke", "POST", market.RetrySafe, []string{"cut", "done"}, header.Unknown, 1},
+		{"a POST that was refused", "POST", market.RetrySafe, []string{"not-run", "done"}, header.Done, 2},
+		{"refused, then connection broken", "POST", market.RetrySafe, []string{"not-run", "cut", "done"}, header.Unknown, 2},
+		{"answer to another request", "POST", market.RetrySafe, []string{"mixed", "done"}, header.Unknown, 1},
 	}
 	for _, c := range cases {
 		s := &script{words: c.words}
--- a/market/state.go
+++ b/market/state.go
@@ -8,14 +8,14 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// MaxRemembered bounds the change ids whose answers are kept: five days of
-// 3,900 changes. An older change that is sent again is refused by its base
-// revision, so it takes no effect twice either.
+// MaxRemembered is the greatest number of change ids whose answers are kept: five days at
+// 3,900 changes a day. An older change that is sent again is refused because of its base
+// revision, so that it does not take effect twice either.
 const MaxRemembered = 20_000
 
-// State is all markets and teams, and the answers given to recent changes.
+// State holds all markets and teams and the answers to recent changes.
 type State struct {
-	// Revision is that of the newest accepted change.
+	// Revision is the revision of the latest accepted change.
 	Revision uint64            `msgpack:"r"`
 	Markets  map[string]*View  `msgpack:"m"`
 	Teams    Teams             `msgpack:"t"`
@@ -23,13 +23,14 @@
 	Order    []string          `msgpack:"o"` // ids of Answers, oldest first
 }
 
-// Teams are all teams under one revision.
+// Teams holds all teams, which share one revision. Winner is the id of the latest change.
 type Teams struct {
 	Revision uint64          `msgpack:"r" json:"revision"`
 	Winner   string          `msgpack:"w" json:"last_change"`
 	ByName   map[string]Team `msgpack:"n" json:"teams"`
 }
 
+// answer is the kept answer to an accepted change, with the change's digest.
 type answer struct {
 	Revision uint64 `msgpack:"r"`
 	Digest   uint64 `msgpack:"d"`
@@ -40,10 +41,10 @@
 	return &State{Markets: make(map[string]*View), Teams: Teams{ByName: make(map[string]Team)}, Answers: make(map[string]answer)}
 }
 
-// Apply makes a change take effect, or returns the refusal.
+// Apply applies a change and returns its revision, or returns a refusal and changes nothing.
 //
-// The order of the checks matters: a repeated change is answered before its
-// base is compared, since its own first effect has moved the revision on.
+// A repeated change must be answered before its base is compared, since its first application
+// has advanced the revision past its base.
 func (s *State) Apply(c Change) (Answer, error) {
 	if err := c.Validate(); err != nil {
 		return Answer{}, err
@@ -64,11 +65,12 @@
 	return Answer{Revision: s.Revision}, nil
 }
 
-// digest tells a change sent again from another one under the same id.
+// digest returns a digest that distinguishes a repeated change from a different one under the
+// same id.
 func (c Change) digest() uint64 {
 	b, err := msgpack.Marshal(&c)
 	if err != nil {
-		panic(err) // a struct of strings and numbers always encodes
+		panic(err) // encoding plain strings and numbers can't fail
 	}
 	h := fnv.New64a()
 	h.Write(b)
@@ -93,6 +95,8 @@
 	return e
 }
 
+// scope returns the revision that a change is compared with, and the change that set it: those
+// of the teams or of the change's market.
 func (s *State) scope(c Change) (revision uint64, winner string) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
 		return s.Teams.Revision, s.Teams.Winner
@@ -103,6 +107,7 @@
 	return 0, ""
 }
 
+// mark sets the state's revision on the teams or the market that an accepted change concerns.
 func (s *State) mark(c Change) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
 		s.Teams.Revision, s.Teams.Winner = s.Revision, c.ID
@@ -145,7 +150,8 @@
 	return nil
 }
 
-// changeView changes a market's copy; readers may still hold the old one.
+// changeView changes v, which is a copy of the market's view: readers may still use the
+// original.
 func (s *State) changeView(v *View, c Change) error {
 	switch c.Verb {
 	case RetireMarket:
@@ -169,7 +175,7 @@
 }
 
 func notFound(what, name string) error {
-	return refusal.New(refusal.NotFound, "make it first, or check the spelling", "%s %q does not exist", what, name)
+	return refusal.New(refusal.NotFound, "create it first, or check the spelling", "%s %q does not exist", what, name)
 }
 
 func retire[T any](m map[string]*T, what, name string) error {
@@ -182,14 +188,14 @@
 
 func (s *State) putMarket(name string) {
 	if v := s.Markets[name]; v != nil && !v.Retired {
-		return // it is there; the change still counts as accepted
+		return // the market exists; the change is still accepted
 	}
 	s.Markets[name] = &View{Market: Market{Name: name}, Services: make(map[string]*Service),
 		Jobs: make(map[string]*Job), Presets: make(map[string]*Preset)}
 }
 
-// putService refuses a route that another service has: which one a request
-// meant would depend on the order of a map.
+// putService refuses a route that another service already has: which of the two got a request
+// would depend on the iteration order of a map.
 func (s *State) putService(v *View, svc *Service) error {
 	for name, other := range s.Markets {
 		for _, o := range other.Services {
@@ -241,7 +247,7 @@
 	return nil
 }
 
-// Since returns the markets changed after a revision, in order of name.
+// Since returns the markets that changed after a revision, sorted by name.
 func (s *State) Since(revision uint64) []*View {
 	var out []*View
 	for _, v := range s.Markets {
--- a/market/state_test.go
+++ b/market/state_test.go
@@ -12,8 +12,8 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// oracle is the plain rule: a change takes effect if its base is the present
-// revision of its market, and one already accepted gets its first answer.
+// oracle is a minimal model of the rule: a change takes effect if its base is the current
+// revision of its market, and a change that was accepted before gets its first answer.
 type oracle struct {
 	revision uint64
 	markets  map[string]uint64
@@ -21,8 +21,8 @@
 	inForce  map[string]string
 }
 
-// race is one operator's change: which of a few ids, markets and bases it has
-// comes from the generator, so that operators collide all the time.
+// race is one generated change of an operator. Ids, markets and bases come from small ranges, so
+// that changes collide often.
 type race struct{ ID, Market, Preset, Back int }
 
 func (o *oracle) apply(c Change) (uint64, refusal.Code) {
@@ -55,10 +55,9 @@
 	return s, o
 }
 
-// Operators race with changes of equal bases, and resend changes whose answers
-// they lost, before and after a snapshot and restart. Each change takes effect
-// once or not at all, exactly as the plain rule says, and no market's revision
-// ever falls.
+// Operators send concurrent changes with equal bases and resend changes whose answers were lost,
+// before and after a snapshot and restart. Each change must take effect once or not at all, as in
+// the model, and each market must have the model's preset and revision.
 func TestRacingChangesAgreeWithTheOracle(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(4)
 	params.MinSuccessfulTests = 300
@@ -84,7 +83,7 @@
 	c := Change{ID: fmt.Sprint("c", r.ID), Verb: UsePreset, Market: fmt.Sprint("m", r.Market), Name: fmt.Sprint("p", r.Preset)}
 	c.Base = o.markets[c.Market]
 	if r.Back == 0 && c.Base > 0 {
-		c.Base-- // an operator who saw an older state
+		c.Base-- // based on an outdated state
 	}
 	if first, ok := seen[c.ID]; ok {
 		c = first // resent
@@ -118,8 +117,8 @@
 	return out
 }
 
-// Two operators change the same market from the same revision. The second is
-// told who won and what the revision is now, so that it can decide anew.
+// Two operators change the same market from the same revision. The second must be refused with
+// the id of the accepted change and the current revision, so that the operator can retry from it.
 func TestConflictNamesTheWinner(t *testing.T) {
 	s, o := seeded()
 	base := o.markets["m0"]
@@ -133,8 +132,8 @@
 	}
 }
 
-// The memory of answers is bounded. A change older than it that is sent again
-// must still take no effect twice: its base is outdated by its own effect.
+// Only the latest answers are kept. A change whose answer has been discarded must still be refused
+// when it is sent again: its first application has made its base outdated.
 func TestForgottenChangeIsStillRefused(t *testing.T) {
 	s, o := seeded()
 	first := Change{ID: "old", Base: o.markets["m0"], Verb: UsePreset, Market: "m0", Name: "p0"}
@@ -151,11 +150,12 @@
 		t.Fatalf("%d answers kept", len(s.Answers))
 	}
 	if _, err := s.Apply(first); !refusal.Is(err, refusal.Conflict) {
-		t.Fatalf("a forgotten change: %v", err)
+		t.Fatalf("a change whose answer was discarded: %v", err)
 	}
 }
 
-// Bad input names the field and the remedy, and changes nothing.
+// An invalid change must be refused with the right code and a remedy, and must not change the
+// revision.
 func TestBadChangesAreRefused(t *testing.T) {
 	svc := func(f func(*Service)) *Service {
 		s := &Service{Name: "s", PathPrefix: "/s", TimeoutMS: 10}
--- a/market/types.go
+++ b/market/types.go
@@ -1,6 +1,6 @@
-// Package market holds what operators make: markets, their services, jobs and
-// presets, and the teams with their quotas. State is a pure state machine; the
-// quorum's log feeds it, so every replica holds the same.
+// Package market holds the configuration that operators manage: markets, their services, jobs
+// and presets, and the teams with their quotas. State is a deterministic state machine that
+// applies the quorum's log, so that every replica holds the same state.
 package market
 
 import (
@@ -13,15 +13,15 @@
 	Name string `msgpack:"n" json:"name"`
 }
 
-// RetryRule tells which requests an entry may send a second time after a
-// failure whose outcome is not certain.
+// RetryRule defines which requests an entry may send again after a failure of unknown outcome.
 type RetryRule string
 
 // The retry rules.
 const (
-	// RetrySafe repeats only methods that HTTP calls safe or idempotent.
+	// RetrySafe allows it for methods that HTTP defines as safe or idempotent.
 	RetrySafe RetryRule = "safe"
-	// RetryNever repeats only what certainly was not run.
+	// RetryNever allows it for no request: only those that were certainly not run are
+	// sent again.
 	RetryNever RetryRule = "never"
 )
 
@@ -32,20 +32,21 @@
 	Host string `msgpack:"h,omitempty" json:"host,omitempty"`
 	// PathPrefix selects the service by the start of the path.
 	PathPrefix string `msgpack:"p,omitempty" json:"path_prefix,omitempty"`
-	// TimeoutMS is the longest a request may take, in milliseconds.
+	// TimeoutMS is the maximum time of a request, in milliseconds.
 	TimeoutMS int64     `msgpack:"t" json:"timeout_ms"`
 	Retry     RetryRule `msgpack:"r,omitempty" json:"retry,omitempty"`
 	// KeyRequired refuses non-idempotent requests without an Idempotency-Key.
 	KeyRequired bool `msgpack:"k,omitempty" json:"key_required,omitempty"`
-	// MilliCPU and MemoryMB are set aside for each upstream of the service.
+	// MilliCPU and MemoryMB are reserved for each upstream of the service.
 	MilliCPU int64 `msgpack:"c" json:"milli_cpu"`
 	MemoryMB int64 `msgpack:"m" json:"memory_mb"`
 }
 
-// Timeout returns the service's longest request time.
+// Timeout returns the maximum time of a request.
 func (s Service) Timeout() time.Duration { return time.Duration(s.TimeoutMS) * time.Millisecond }
 
-// Class tells whether a job's tasks end by themselves.
+// Class defines whether a job's tasks end by themselves (batch) or run until they are stopped
+// (continuous).
 type Class string
 
 // The classes of jobs.
@@ -54,7 +55,7 @@
 	ClassContinuous Class = "continuous"
 )
 
-// Job describes tasks of one kind.
+// Job describes a kind of task: its team, the resources of one task, and how it runs.
 type Job struct {
 	Name         string `msgpack:"n" json:"name"`
 	Team         string `msgpack:"t" json:"team"`
@@ -67,12 +68,12 @@
 	// DeadlineMS counts from submission, in milliseconds; 0 means none.
 	DeadlineMS int64 `msgpack:"d,omitempty" json:"deadline_ms,omitempty"`
 	Urgent     bool  `msgpack:"u,omitempty" json:"urgent,omitempty"`
-	// MaxFailures sets a task aside after so many failed attempts.
+	// MaxFailures is the number of failed attempts after which a task is not tried again.
 	MaxFailures int `msgpack:"f,omitempty" json:"max_failures,omitempty"`
 }
 
-// CutOffRule tells what an entry does with a market's requests when it cannot
-// know any more which configuration is in force.
+// CutOffRule defines what an entry does with a market's requests when its configuration may be
+// outdated.
 type CutOffRule string
 
 // The cut-off rules.
@@ -87,27 +88,28 @@
 	// TailWeight is the weight of the services' tail latency against batch
 	// throughput, from 0 (only throughput) to 1 (only latency).
 	TailWeight float64 `msgpack:"w" json:"tail_weight"`
-	// BatchShare is the part of a worker's processors that batch tasks may
-	// use, from 0 to 1.
+	// BatchShare is the fraction of a worker's processors that batch tasks may use, from
+	// 0 to 1.
 	BatchShare float64 `msgpack:"b" json:"batch_share"`
-	// MaxSlowdown is the service latency, relative to running alone, above
-	// which the disturbing tasks are throttled, then evicted.
+	// MaxSlowdown is the service latency, relative to that without tasks beside it, above
+	// which the interfering tasks are throttled, then evicted.
 	MaxSlowdown float64 `msgpack:"s" json:"max_slowdown"`
-	// Explore lets a task be placed beside a service it was never seen with.
+	// Explore allows a task to be placed beside a service without measurements of the two
+	// together.
 	Explore bool       `msgpack:"e,omitempty" json:"explore,omitempty"`
 	CutOff  CutOffRule `msgpack:"o,omitempty" json:"cut_off,omitempty"`
 }
 
-// Team shares the workers with the other teams under a quota.
+// Team owns jobs and shares the workers with other teams under a quota.
 type Team struct {
 	Name string `msgpack:"n" json:"name"`
-	// MilliCPU and MemoryMB bound what the team's running tasks may use; 0
-	// means no bound.
+	// MilliCPU and MemoryMB limit the total resources of the team's running tasks; 0 means
+	// no limit.
 	MilliCPU int64 `msgpack:"c,omitempty" json:"milli_cpu,omitempty"`
 	MemoryMB int64 `msgpack:"m,omitempty" json:"memory_mb,omitempty"`
 }
 
-// Verb is what a change does.
+// Verb is the operation of a change.
 type Verb string
 
 // The verbs of changes.
@@ -125,12 +127,12 @@
 	RetireTeam    Verb = "retire-team"
 )
 
-// Change is one operator's change. A change that is sent again under the same
-// ID gets the first answer and takes no effect twice.
+// Change is a change by an operator. A change that is sent again under the same ID gets the
+// first answer and does not take effect twice.
 type Change struct {
 	ID string `msgpack:"i" json:"id"`
-	// Base is the revision of the market, or of the teams, that the operator
-	// saw. The change is refused when another one came first.
+	// Base is the revision of the market, or of the teams, that the change is based on. The
+	// change is refused if another one was accepted since.
 	Base    uint64   `msgpack:"b" json:"base"`
 	Verb    Verb     `msgpack:"v" json:"verb"`
 	Market  string   `msgpack:"m,omitempty" json:"market,omitempty"`
@@ -141,16 +143,16 @@
 	Team    *Team    `msgpack:"t,omitempty" json:"team,omitempty"`
 }
 
-// Answer is what an accepted change is told.
+// Answer is the answer to an accepted change.
 type Answer struct {
-	// Revision is the one at which the change took effect.
+	// Revision is the revision at which the change took effect.
 	Revision uint64 `msgpack:"r" json:"revision"`
-	// Repeated tells that the change had been accepted before.
+	// Repeated is set if the change had been accepted before.
 	Repeated bool `msgpack:"-" json:"repeated,omitempty"`
 }
 
-// View is one market as it is in force. A retired market stays as a tombstone,
-// so that its revision never starts again.
+// View is the current configuration of one market. Winner is the id of its latest change. A
+// retired market stays as a tombstone, so that its revision never restarts.
 type View struct {
 	Market   Market              `msgpack:"m" json:"market"`
 	Revision uint64              `msgpack:"r" json:"revision"`
@@ -162,15 +164,16 @@
 	Presets  map[string]*Preset  `msgpack:"p" json:"presets,omitempty"`
 }
 
-// clone copies the maps; what they point to is replaced, never changed.
+// clone returns a copy with its own maps. Their values are shared; they are replaced, never
+// modified.
 func (v *View) clone() *View {
 	c := *v
 	c.Services, c.Jobs, c.Presets = maps.Clone(v.Services), maps.Clone(v.Jobs), maps.Clone(v.Presets)
 	return &c
 }
 
-// DefaultPreset is in force until an operator chooses one: it favours the
-// services, and admits batch work to half of the processors.
+// DefaultPreset is in force until an operator chooses a preset. It favours service latency and
+// lets batch tasks use half of the processors.
 var DefaultPreset = Preset{Name: "default", TailWeight: 0.7, BatchShare: 0.5, MaxSlowdown: 1.2, CutOff: CutOffServe}
 
 // Preset returns the preset in force.
--- a/market/validate.go
+++ b/market/validate.go
@@ -9,7 +9,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Bounds of what an operator may declare.
+// Limits of the values that an operator may declare.
 const (
 	MaxIDLength  = 128
 	maxMilliCPU  = 4096 * 1000
@@ -22,18 +22,19 @@
 	return refusal.New(refusal.Invalid, remedy, format, args...)
 }
 
-// CheckName refuses names that would not fit a URL path or a metric label.
+// CheckName refuses names that can't be used in a URL path or a metric label. what is the kind of
+// object, for the message.
 func CheckName(what, name string) error {
 	if namePattern.MatchString(name) {
 		return nil
 	}
-	return invalid("use 1 to 63 small letters, digits and inner hyphens", "%s name %q is not allowed", what, name)
+	return invalid("use 1 to 63 lower-case letters, digits and inner hyphens", "%s name %q is not allowed", what, name)
 }
 
-// Validate checks a change by itself, without the state.
+// Validate checks a change without regard to the state.
 func (c *Change) Validate() error {
 	if c.ID == "" || len(c.ID) > MaxIDLength {
-		return invalid("send an id of 1 to 128 bytes, and the same one when sending again", "the change has no usable id")
+		return invalid("send an id of 1 to 128 bytes, and the same one when sending again", "the change id is missing or too long")
 	}
 	switch c.Verb {
 	case PutTeam:
@@ -81,10 +82,10 @@
 		return err
 	}
 	if s.Host == "" && s.PathPrefix == "" {
-		return invalid("give a host, a path_prefix or both", "service %q could not be found by any request", s.Name)
+		return invalid("give a host, a path_prefix or both", "service %q has neither host nor path_prefix", s.Name)
 	}
 	if s.PathPrefix != "" && !strings.HasPrefix(s.PathPrefix, "/") {
-		return invalid("start it with a slash", "path_prefix %q is not a path", s.PathPrefix)
+		return invalid("start it with a slash", "path_prefix %q does not start with a slash", s.PathPrefix)
 	}
 	if len(s.Host) > maxHost || strings.ContainsAny(s.Host, " /\t") {
 		return invalid("give a host name without a scheme", "host %q is not a host name", s.Host)
@@ -112,10 +113,10 @@
 		return invalid(`use "batch" or "continuous"`, "class %q is not known", j.Class)
 	}
 	if j.MilliCPU == 0 || j.Accelerators < 0 || j.MaxFailures < 0 {
-		return invalid("give milli_cpu above 0 and no negative numbers", "job %q asks for no processors or for less than nothing", j.Name)
+		return invalid("give milli_cpu above 0 and no negative numbers", "job %q has no milli_cpu or a negative number", j.Name)
 	}
 	if j.RunTimeMS <= 0 || j.DeadlineMS < 0 {
-		return invalid("give run_time_ms above 0 and deadline_ms 0 or above", "job %q has no usable times", j.Name)
+		return invalid("give run_time_ms above 0 and deadline_ms 0 or above", "job %q has run_time_ms or deadline_ms out of range", j.Name)
 	}
 	return checkSize(j.MilliCPU, j.MemoryMB)
 }
@@ -146,9 +147,9 @@
 	if err := CheckName("team", t.Name); err != nil {
 		return err
 	}
-	// A quota spans many workers, so it has no bound but zero.
+	// A quota spans many workers, so it has no upper limit.
 	if t.MilliCPU < 0 || t.MemoryMB < 0 {
-		return invalid("give 0 for no bound, or more", "the quota of %q is less than nothing", t.Name)
+		return invalid("give 0 for no limit, or more", "the quota of %q is negative", t.Name)
 	}
 	return nil
 }
