--- a/agent/agent.go
+++ b/agent/agent.go
@@ -41,15 +41,15 @@
 	server *fasthttp.Server
 	meter  *meter
 
-	mu        sync.Mutex
-	announce  *Announcement // the latest, nil before the first
-	heard     time.Time
-	silent    bool // no heartbeat within the announcement time-out
-	withdrawn bool
-	gate      *admission.Gate
-	upstream  *fasthttp.HostClient
-	markets   map[string]*market.View
-	revision  uint64
+	mu            sync.Mutex
+	announce      *Announcement // the latest, nil before the first
+	lastHeartbeat time.Time
+	unresponsive  bool // no heartbeat within the announcement time-out
+	withdrawn     bool
+	gate          *admission.Gate
+	upstream      *fasthttp.HostClient
+	markets       map[string]*market.View
+	revision      uint64
 
 	leaseEnd atomic.Int64 // nanoseconds since started, on the monotonic clock
 	started  time.Time
@@ -97,8 +97,8 @@
 	logrus.WithFields(logrus.Fields{"address": ln.Addr(), "local": local.Addr()}).Info("agent: Started.")
 	serveCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
-	g.runs.begin(serveCtx)
-	defer g.runs.wait()
+	g.runs.enable(serveCtx)
+	defer g.runs.shutdown()
 	eg, ctx := errgroup.WithContext(ctx)
 	eg.Go(func() error { return transport.ServeHTTP(serveCtx, g.server, transport.Secure(part, ln, g.tls)) })
 	eg.Go(func() error {
@@ -134,20 +134,20 @@
 	return g.gate.Used()
 }
 
-// announced processes a heartbeat of the upstream.
-func (g *Agent) announced(a Announcement, now time.Time) {
+// handleAnnouncement processes a heartbeat of the upstream.
+func (g *Agent) handleAnnouncement(a Announcement, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.announce == nil || g.announce.Address != a.Address {
 		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: An upstream announced itself at a new address.")
 	}
-	g.announce, g.heard, g.silent = &a, now, false
+	g.announce, g.lastHeartbeat, g.unresponsive = &a, now, false
 	if a.Leaving || g.withdrawn {
-		release(g.gate.Close(refusal.Leaving))
+		wakeDecided(g.gate.Close(refusal.Leaving))
 		return
 	}
 	g.dialUpstream(a)
-	release(g.gate.Open(a.Slots, a.running()))
+	wakeDecided(g.gate.Open(a.Slots, a.running()))
 }
 
 // leaving reports whether the agent is withdrawn or its upstream is leaving.
@@ -177,11 +177,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.withdrawn = true
-	release(g.gate.Close(refusal.Leaving))
+	wakeDecided(g.gate.Close(refusal.Leaving))
 }
 
-// release wakes the requests whose tickets were decided.
-func release(tickets []*admission.Ticket) {
+// wakeDecided wakes the requests whose tickets were decided.
+func wakeDecided(tickets []*admission.Ticket) {
 	for _, t := range tickets {
 		close(t.Ready)
 	}
@@ -192,12 +192,12 @@
 func (g *Agent) expireUpstream(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.announce == nil || g.silent || now.Sub(g.heard) < g.set.Agent.AnnounceTimeout.Duration {
+	if g.announce == nil || g.unresponsive || now.Sub(g.lastHeartbeat) < g.set.Agent.AnnounceTimeout.Duration {
 		return
 	}
 	logrus.WithField("upstream", g.announce.Address).Warn("agent: No heartbeat from the upstream within the time-out; refusing requests.")
-	g.silent = true
-	release(g.gate.Close(refusal.NoUpstream))
+	g.unresponsive = true
+	wakeDecided(g.gate.Close(refusal.NoUpstream))
 }
 
 // renewLoop periodically reads the worker's report, renews its lease and sends it commands.
@@ -246,14 +246,14 @@
 	}
 	g.lastErr = ""
 	g.leaseEnd.Store(int64(sent.Add(time.Duration(a.LeaseMS) * time.Millisecond).Sub(g.started)))
-	g.takeConfig(a)
+	g.storeMarkets(a)
 	if a.Changed {
 		g.ledger.Replace(req.Member.Boot, a.Orders)
 	}
 	g.ledger.Throttle(a.Throttle)
 	g.ledger.Cordon(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
 	if workerAddr != "" {
-		g.tellWorker(workerAddr, report.ClockMS+a.LeaseMS)
+		g.syncWorker(workerAddr, report.ClockMS+a.LeaseMS)
 	}
 }
 
@@ -295,7 +295,7 @@
 	return r, true
 }
 
-func (g *Agent) tellWorker(addr string, untilMS int64) {
+func (g *Agent) syncWorker(addr string, untilMS int64) {
 	var r worker.Report
 	cmd := g.ledger.Commands(untilMS)
 	if err := g.callWorker(addr, fasthttp.MethodPost, worker.PathSync, &cmd, &r); err != nil {
@@ -318,7 +318,7 @@
 
 func (g *Agent) renewal(report worker.Report) control.Renew {
 	ends := g.ledger.Ends()
-	g.meter.tasks(ends, g.ledger.Cordoned())
+	g.meter.recordEnds(ends, g.ledger.Cordoned())
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	load := 0.0
@@ -341,13 +341,13 @@
 	}
 	a := g.announce
 	m.Rack, m.Market, m.Service, m.Slots, m.Conns = a.Rack, a.Market, a.Service, a.Slots, a.Connections
-	m.Withdrawn = g.withdrawn || g.silent || a.Leaving
+	m.Withdrawn = g.withdrawn || g.unresponsive || a.Leaving
 	m.Evacuate = a.Leaving
 	return m
 }
 
-// takeConfig stores changed markets. An older revision never replaces a newer one.
-func (g *Agent) takeConfig(a control.RenewAnswer) {
+// storeMarkets stores changed markets. An older revision never replaces a newer one.
+func (g *Agent) storeMarkets(a control.RenewAnswer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, v := range a.Markets {
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -123,7 +123,7 @@
 		localError(ctx, fasthttp.StatusBadRequest, e)
 		return
 	}
-	g.announced(a, time.Now())
-	g.runs.announced(a, g.leaving())
+	g.handleAnnouncement(a, time.Now())
+	g.runs.handleAnnouncement(a, g.leaving())
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
--- a/agent/announce_test.go
+++ b/agent/announce_test.go
@@ -24,7 +24,7 @@
 	return g
 }
 
-func (g *Agent) arriveNow(t *testing.T) admission.Verdict {
+func (g *Agent) requestSlotNow(t *testing.T) admission.Verdict {
 	t.Helper()
 	return g.gate.Arrive(&admission.Ticket{Deadline: time.Now().Add(time.Second), Ready: make(chan struct{})}, time.Now())
 }
@@ -33,32 +33,32 @@
 // learned of it yet. The agent must refuse them as not run from that announcement on. It also
 // refuses when the heartbeats stop, until the next one; a draining agent refuses regardless
 // of heartbeats.
-func TestAgentRefusesForItsUpstreamAtOnce(t *testing.T) {
+func TestAgentRefusesRequestsAfterUpstreamLeaves(t *testing.T) {
 	g := testAgent(t)
 	a := Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 2, Connections: 2}
 	now := time.Now()
-	if v := g.arriveNow(t); v.Code != refusal.NoUpstream {
+	if v := g.requestSlotNow(t); v.Code != refusal.NoUpstream {
 		t.Errorf("before the first announcement: %+v", v)
 	}
-	g.announced(a, now)
-	if v := g.arriveNow(t); v.Decision != admission.Admit {
+	g.handleAnnouncement(a, now)
+	if v := g.requestSlotNow(t); v.Decision != admission.Admit {
 		t.Errorf("announced: %+v", v)
 	}
 	leaving := a
 	leaving.Leaving = true
-	g.announced(leaving, now)
-	if v := g.arriveNow(t); v.Decision != admission.Refuse || v.Code != refusal.Leaving {
+	g.handleAnnouncement(leaving, now)
+	if v := g.requestSlotNow(t); v.Decision != admission.Refuse || v.Code != refusal.Leaving {
 		t.Errorf("leaving: %+v", v)
 	}
-	g.announced(a, now)
+	g.handleAnnouncement(a, now)
 	g.expireUpstream(now.Add(settings.DefaultAnnounceTimeout + 1))
-	if v := g.arriveNow(t); v.Code != refusal.NoUpstream {
-		t.Errorf("silent: %+v", v)
+	if v := g.requestSlotNow(t); v.Code != refusal.NoUpstream {
+		t.Errorf("heartbeats stopped: %+v", v)
 	}
-	g.announced(a, now)
+	g.handleAnnouncement(a, now)
 	g.withdraw()
-	g.announced(a, now)
-	if v := g.arriveNow(t); v.Code != refusal.Leaving {
+	g.handleAnnouncement(a, now)
+	if v := g.requestSlotNow(t); v.Code != refusal.Leaving {
 		t.Errorf("draining: %+v", v)
 	}
 }
@@ -66,9 +66,9 @@
 // An entry is suspended between receiving a request and sending it on, so that no time is left
 // when the agent gets it. If it were started, it would run after its caller was told "unknown"
 // and, if its idempotency key has expired meanwhile, a second time.
-func TestRequestWithoutTimeLeftIsNotBegun(t *testing.T) {
+func TestRequestWithoutTimeLeftIsNotStarted(t *testing.T) {
 	g := testAgent(t)
-	g.announced(Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 2, Connections: 2}, time.Now())
+	g.handleAnnouncement(Announcement{Market: "m", Service: "s", Address: "127.0.0.1:9", Slots: 2, Connections: 2}, time.Now())
 	for _, left := range []string{"0", "-90000000"} {
 		var ctx fasthttp.RequestCtx
 		ctx.Request.Header.Set(header.ID, "x")
@@ -88,15 +88,15 @@
 	if err := good.validate(); err != nil {
 		t.Fatal(err)
 	}
-	less := -1
-	for name, spoil := range map[string]func(*Announcement){
+	negative := -1
+	for name, invalidate := range map[string]func(*Announcement){
 		"market": func(a *Announcement) { a.Market = "" }, "service": func(a *Announcement) { a.Service = "A b" },
 		"address": func(a *Announcement) { a.Address = "host:80" }, "worker": func(a *Announcement) { a.Worker = "x" },
 		"slots": func(a *Announcement) { a.Slots = 0 }, "connections": func(a *Announcement) { a.Connections = 1 << 30 },
-		"running": func(a *Announcement) { a.Running = &less }, "capacity": func(a *Announcement) { a.Capacity.MemoryMB = -5 },
+		"running": func(a *Announcement) { a.Running = &negative }, "capacity": func(a *Announcement) { a.Capacity.MemoryMB = -5 },
 	} {
 		a := good
-		spoil(&a)
+		invalidate(&a)
 		if err := a.validate(); !refusal.Is(err, refusal.Invalid) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -11,15 +11,15 @@
 // that a truncated answer can't be told from a complete one.
 var errUnframed = errors.New("the answer has neither a length nor chunks")
 
-// unframed is fasthttp's content length for such an answer.
-const unframed = -2
+// unframedLength is fasthttp's content length for such an answer.
+const unframedLength = -2
 
-// readWhole reads the streamed body of an answer, up to max bytes, into resp.
+// readBody reads the streamed body of an answer, up to max bytes, into resp.
 //
 // The body is streamed because fasthttp otherwise gives an unframed answer a length, and a
 // truncated answer would pass for complete. On any error the connection is closed: unread
 // bytes on it must never become the start of another caller's answer.
-func readWhole(resp *fasthttp.Response, max int) error {
+func readBody(resp *fasthttp.Response, max int) error {
 	stream := resp.BodyStream()
 	if stream == nil {
 		return nil // no body, as for HEAD or 204
@@ -38,7 +38,7 @@
 
 func readStream(stream io.Reader, length, max int) ([]byte, error) {
 	switch {
-	case length == unframed:
+	case length == unframedLength:
 		return nil, errUnframed
 	case length > max:
 		return nil, fasthttp.ErrBodyTooLarge
--- a/agent/ledger_test.go
+++ b/agent/ledger_test.go
@@ -8,22 +8,22 @@
 	"github.com/waxwinghaven/waxwinghaven/worker"
 )
 
-func one(n int64) resource.Vector { return resource.Vector{MilliCPU: n} }
+func milliCPU(n int64) resource.Vector { return resource.Vector{MilliCPU: n} }
 
 // The control assumes free capacity, but the worker still runs a task that is no longer
 // ordered. The new task must not start before the worker reports that the old one has stopped:
 // the agent's count is the last check against overcommitting the worker.
-func TestStartWaitsForRoomOnTheWorkerItself(t *testing.T) {
+func TestStartWaitsForFreeCapacityReportedByWorker(t *testing.T) {
 	l := NewLedger()
-	running := worker.TaskReport{Task: "old", Attempt: 1, Need: one(1500), Running: true}
-	l.Observe(worker.Report{Boot: "b", Capacity: one(2000), Tasks: []worker.TaskReport{running}})
-	l.Replace("b", []lease.Order{{Task: "new", Attempt: 1, Need: one(1000)}})
+	running := worker.TaskReport{Task: "old", Attempt: 1, Need: milliCPU(1500), Running: true}
+	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
+	l.Replace("b", []lease.Order{{Task: "new", Attempt: 1, Need: milliCPU(1000)}})
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "old" {
 		t.Fatalf("started before capacity was free: %+v", s)
 	}
 	running.Running, running.Outcome = false, lease.OutcomeStopped
-	l.Observe(worker.Report{Boot: "b", Capacity: one(2000), Tasks: []worker.TaskReport{running}})
+	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
 	if s = l.Commands(100); len(s.Start) != 1 || len(s.Forget) != 1 {
 		t.Fatalf("not started when capacity was free: %+v", s)
 	}
@@ -33,9 +33,9 @@
 // If they were applied, tasks that the control is placing elsewhere would run twice.
 func TestOrdersForAnotherBootAreDropped(t *testing.T) {
 	l := NewLedger()
-	l.Observe(worker.Report{Boot: "b1", Capacity: one(2000)})
-	l.Observe(worker.Report{Boot: "b2", Capacity: one(2000)})
-	l.Replace("b1", []lease.Order{{Task: "t", Attempt: 1, Need: one(1)}})
+	l.Observe(worker.Report{Boot: "b1", Capacity: milliCPU(2000)})
+	l.Observe(worker.Report{Boot: "b2", Capacity: milliCPU(2000)})
+	l.Replace("b1", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(1)}})
 	if s := l.Commands(100); len(s.Start) != 0 || s.Boot != "b2" {
 		t.Fatalf("orders for another boot were applied: %+v", s)
 	}
@@ -45,23 +45,23 @@
 // be in flight. The attempt must be stopped, not started, and reported as rejected once the
 // worker has confirmed that it won't run, so that it can run elsewhere. Running attempts
 // continue. The rejection must not count as a failure of the worker.
-func TestOrderedAttemptIsGivenBackOutOfService(t *testing.T) {
+func TestOrderedAttemptIsRejectedOutOfService(t *testing.T) {
 	l := NewLedger()
-	running := worker.TaskReport{Task: "old", Attempt: 1, Need: one(1), Running: true}
-	l.Observe(worker.Report{Boot: "b", Capacity: one(2000), Tasks: []worker.TaskReport{running}})
-	l.Replace("b", []lease.Order{{Task: "old", Attempt: 1, Need: one(1)}, {Task: "new", Attempt: 1, Need: one(1)}})
+	running := worker.TaskReport{Task: "old", Attempt: 1, Need: milliCPU(1), Running: true}
+	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
+	l.Replace("b", []lease.Order{{Task: "old", Attempt: 1, Need: milliCPU(1)}, {Task: "new", Attempt: 1, Need: milliCPU(1)}})
 	l.Cordon(true)
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "new" {
 		t.Fatalf("the worker's commands: %+v", s)
 	}
-	l.Observe(worker.Report{Boot: "b", Capacity: one(2000), Tasks: []worker.TaskReport{running, {Task: "new", Attempt: 1, Outcome: lease.OutcomeRejected}}})
+	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running, {Task: "new", Attempt: 1, Outcome: lease.OutcomeRejected}}})
 	ends := l.Ends()
 	if len(ends) != 1 || ends[0].Task != "new" || ends[0].Outcome != lease.OutcomeRejected {
 		t.Fatalf("ends: %+v", ends)
 	}
 	m := newMeter()
-	m.tasks(ends, l.Cordoned())
+	m.recordEnds(ends, l.Cordoned())
 	if m.usage.TaskBad != 0 {
 		t.Error("the rejection counts as a failure")
 	}
@@ -71,8 +71,8 @@
 // can run elsewhere. Otherwise it stays placed here for ever without starting.
 func TestTooLargeTaskIsRejected(t *testing.T) {
 	l := NewLedger()
-	l.Observe(worker.Report{Boot: "b", Capacity: one(2000)})
-	l.Replace("b", []lease.Order{{Task: "t", Attempt: 1, Need: one(3000)}})
+	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000)})
+	l.Replace("b", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(3000)}})
 	ends := l.Ends()
 	if len(ends) != 1 || ends[0].Outcome != lease.OutcomeRejected {
 		t.Fatalf("ends: %+v", ends)
--- a/agent/measure.go
+++ b/agent/measure.go
@@ -21,19 +21,19 @@
 // during it; a window in which they changed is discarded, since its latency can't be
 // attributed to either set of jobs.
 type meter struct {
-	mu      sync.Mutex
-	started time.Time
-	samples []float64 // milliseconds
-	jobs    map[string]int
-	mixed   bool // the jobs changed within the window
-	usage   control.Usage
-	ended   map[worker.Ref]bool // attempts whose end is counted
+	mu          sync.Mutex
+	started     time.Time
+	samples     []float64 // milliseconds
+	jobs        map[string]int
+	jobsChanged bool // the jobs changed within the window
+	usage       control.Usage
+	counted     map[worker.Ref]bool // attempts whose end is counted
 }
 
-func newMeter() *meter { return &meter{started: time.Now(), ended: make(map[worker.Ref]bool)} }
+func newMeter() *meter { return &meter{started: time.Now(), counted: make(map[worker.Ref]bool)} }
 
-// request records the time that one request took at the upstream.
-func (m *meter) request(took time.Duration, failed bool) {
+// recordRequest records the time that one request took at the upstream.
+func (m *meter) recordRequest(took time.Duration, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if failed {
@@ -46,17 +46,17 @@
 	}
 }
 
-// tasks counts ended attempts, each once. While the data centre is out of service (cordoned), a
-// rejection does not count as a failure.
-func (m *meter) tasks(ends []lease.End, cordoned bool) {
+// recordEnds counts ended attempts, each once. While the data centre is out of service
+// (cordoned), a rejection does not count as a failure.
+func (m *meter) recordEnds(ends []lease.End, cordoned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range ends {
 		ref := worker.Ref{Task: e.Task, Attempt: e.Attempt}
-		if m.ended[ref] {
+		if m.counted[ref] {
 			continue
 		}
-		m.ended[ref] = true
+		m.counted[ref] = true
 		switch {
 		case e.Outcome == lease.OutcomeDone:
 			m.usage.TaskEnd++
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(ends) == 0 {
-		clear(m.ended)
+		clear(m.counted)
 	}
 }
 
@@ -74,7 +74,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !sameJobs(m.jobs, jobs) {
-		m.mixed = true
+		m.jobsChanged = true
 	}
 	if len(m.samples) >= windowSamples || now.Sub(m.started) >= windowTime {
 		m.closeWindow(now, load, jobs)
@@ -87,14 +87,14 @@
 }
 
 func (m *meter) closeWindow(now time.Time, load float64, jobs map[string]int) {
-	if !m.mixed && len(m.samples) >= minSamples {
+	if !m.jobsChanged && len(m.samples) >= minSamples {
 		sort.Float64s(m.samples)
 		m.usage.Seq++
 		m.usage.P99 = m.samples[len(m.samples)*99/100]
 		m.usage.Load = load
 		m.usage.Jobs = jobs
 	}
-	m.samples, m.jobs, m.mixed, m.started = m.samples[:0], jobs, false, now
+	m.samples, m.jobs, m.jobsChanged, m.started = m.samples[:0], jobs, false, now
 }
 
 func sameJobs(a, b map[string]int) bool {
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -14,16 +14,16 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// defaultTime is the time allowed for a request whose entry sent no deadline.
-const defaultTime = 30 * time.Second
+// defaultTimeout is the time allowed for a request whose entry sent no deadline.
+const defaultTimeout = 30 * time.Second
 
-// strayTime is how long the agent waits for the upstream past the caller's deadline, so that
+// overrunWait is how long the agent waits for the upstream past the caller's deadline, so that
 // the slot is freed when the request has actually ended.
-const strayTime = 30 * time.Second
+const overrunWait = 30 * time.Second
 
 var (
-	lateAnswers = metrics.NewCounter(`waxwinghaven_late_answers_total{part="agent"}`)
-	strays      = metrics.NewCounter(`waxwinghaven_stray_requests_total{part="agent"}`)
+	lateAnswers   = metrics.NewCounter(`waxwinghaven_late_answers_total{part="agent"}`)
+	strayRequests = metrics.NewCounter(`waxwinghaven_stray_requests_total{part="agent"}`)
 )
 
 // serveEntry handles a request from an entry. A request that is refused here has certainly
@@ -36,7 +36,7 @@
 		return
 	}
 	t := &admission.Ticket{Deadline: deadlineOf(ctx), Ready: make(chan struct{})}
-	if v := g.enter(t, ctx); v.Decision == admission.Refuse {
+	if v := g.acquireSlot(t, ctx); v.Decision == admission.Refuse {
 		g.refuse(ctx, v)
 		return
 	}
@@ -48,14 +48,14 @@
 func deadlineOf(ctx *fasthttp.RequestCtx) time.Time {
 	ms, err := strconv.Atoi(string(ctx.Request.Header.Peek(header.TimeLeft)))
 	if err != nil {
-		return time.Now().Add(defaultTime)
+		return time.Now().Add(defaultTimeout)
 	}
 	return time.Now().Add(time.Duration(ms) * time.Millisecond)
 }
 
-// enter waits for a slot of the upstream until the ticket's deadline at most.
-func (g *Agent) enter(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
-	v := g.arrive(t, ctx)
+// acquireSlot waits for a slot of the upstream until the ticket's deadline at most.
+func (g *Agent) acquireSlot(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
+	v := g.requestSlot(t, ctx)
 	if v.Decision != admission.Queue {
 		return v
 	}
@@ -74,7 +74,7 @@
 	return t.Verdict // the gate decided just as the timer fired
 }
 
-func (g *Agent) arrive(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
+func (g *Agent) requestSlot(t *admission.Ticket, ctx *fasthttp.RequestCtx) admission.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a := g.announce; a != nil && g.gate.Slots() > 0 {
@@ -89,15 +89,15 @@
 
 func (g *Agent) refuse(ctx *fasthttp.RequestCtx, v admission.Verdict) {
 	refusal.Count(part, v.Code)
-	g.mark(ctx, header.NotRun, v.Code)
+	g.setOutcome(ctx, header.NotRun, v.Code)
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	if v.RetryAfter > 0 {
 		ctx.Response.Header.Set(header.RetryAfterMS, strconv.FormatInt(v.RetryAfter.Milliseconds(), 10))
 	}
 }
 
-// mark sets the answer's headers for the outcome, its reason and the number of free slots.
-func (g *Agent) mark(ctx *fasthttp.RequestCtx, o header.Outcome, code refusal.Code) {
+// setOutcome sets the answer's headers for the outcome, its reason and the number of free slots.
+func (g *Agent) setOutcome(ctx *fasthttp.RequestCtx, o header.Outcome, code refusal.Code) {
 	g.mu.Lock()
 	free := g.gate.Free()
 	g.mu.Unlock()
@@ -118,7 +118,7 @@
 	done chan struct{}
 }
 
-func (c *call) free() {
+func (c *call) release() {
 	fasthttp.ReleaseRequest(c.req)
 	fasthttp.ReleaseResponse(c.resp)
 }
@@ -127,45 +127,45 @@
 	c := &call{req: fasthttp.AcquireRequest(), resp: fasthttp.AcquireResponse(), done: make(chan struct{})}
 	ctx.Request.CopyTo(c.req)
 	header.ForUpstream(&c.req.Header)
-	go g.run(c, deadline)
+	go g.callUpstream(c, deadline)
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
 	case <-c.done:
 		g.answer(ctx, c)
-		c.free()
+		c.release()
 	case <-timer.C:
 		refusal.Count(part, refusal.DeadlinePassed)
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
-		g.mark(ctx, header.Unknown, refusal.DeadlinePassed)
+		g.setOutcome(ctx, header.Unknown, refusal.DeadlinePassed)
 		go func() { // count and discard the late answer
 			<-c.done
 			lateAnswers.Inc()
-			c.free()
+			c.release()
 		}()
 	}
 }
 
-// run sends the request and frees its slot unless the upstream may still be running it.
-func (g *Agent) run(c *call, deadline time.Time) {
+// callUpstream sends the request and frees its slot unless the upstream may still be running it.
+func (g *Agent) callUpstream(c *call, deadline time.Time) {
 	g.mu.Lock()
 	up := g.upstream
 	g.mu.Unlock()
 	g.plain.Address(c.req, up.Addr)
 	start := time.Now()
-	c.err = up.DoDeadline(c.req, c.resp, deadline.Add(strayTime))
+	c.err = up.DoDeadline(c.req, c.resp, deadline.Add(overrunWait))
 	if c.err == nil {
-		c.err = readWhole(c.resp, g.set.Agent.MaxBody)
+		c.err = readBody(c.resp, g.set.Agent.MaxBody)
 	}
 	took := time.Since(start)
 	failed := c.err != nil || c.resp.StatusCode() >= fasthttp.StatusInternalServerError
-	g.meter.request(took, failed)
+	g.meter.recordRequest(took, failed)
 	g.mu.Lock()
 	if c.err != nil && mayStillRun(c.err) {
-		strays.Inc()
+		strayRequests.Inc()
 		g.gate.Stray()
 	} else {
-		release(g.gate.Finish(took, time.Now()))
+		wakeDecided(g.gate.Finish(took, time.Now()))
 	}
 	g.mu.Unlock()
 	close(c.done)
@@ -187,7 +187,7 @@
 	header.FromUpstream(&c.resp.Header)
 	c.resp.CopyTo(&ctx.Response)
 	ctx.Response.Header.SetBytesV(header.ID, id)
-	g.mark(ctx, header.Done, "")
+	g.setOutcome(ctx, header.Done, "")
 }
 
 // answerError answers with the outcome that err allows. Only if the request was never sent is it
@@ -204,5 +204,5 @@
 	}
 	refusal.Count(part, code)
 	ctx.SetStatusCode(fasthttp.StatusBadGateway)
-	g.mark(ctx, outcome, code)
+	g.setOutcome(ctx, outcome, code)
 }
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -52,22 +52,22 @@
 	ended   chan struct{}
 }
 
-// begin allows announcements to start a runner until ctx ends.
-func (r *runs) begin(ctx context.Context) {
+// enable allows announcements to start a runner until ctx ends.
+func (r *runs) enable(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ctx = ctx
 }
 
-// announced passes a heartbeat to the runner. A worker at another address gets a new runner; the
-// old one ends first, since only one runner may act under the agent's name.
-func (r *runs) announced(a Announcement, leaving bool) {
+// handleAnnouncement passes a heartbeat to the runner. A worker at another address gets a new
+// runner; the old one ends first, since only one runner may act under the agent's name.
+func (r *runs) handleAnnouncement(a Announcement, leaving bool) {
 	if a.Runs == nil {
 		return
 	}
 	x := runner.Announcement{Worker: a.Runs.Incarnation, Service: a.Service, DataCentre: r.agent.set.Instance.DataCentre,
 		Labels: append([]string{a.Rack}, a.Runs.Labels...), Rack: a.Rack, Capacity: a.Runs.Capacity, Draining: leaving, Sequence: a.Runs.Sequence}
-	run := r.at(a.Runs.Address)
+	run := r.runnerAt(a.Runs.Address)
 	if run == nil {
 		return
 	}
@@ -76,15 +76,15 @@
 	}
 }
 
-// at returns the runner for an address and starts it if necessary. It returns nil, or the
+// runnerAt returns the runner for an address and starts it if necessary. It returns nil, or the
 // current runner, if no runner may be started.
-func (r *runs) at(address string) *runner.Runner {
+func (r *runs) runnerAt(address string) *runner.Runner {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ctx == nil || r.ctx.Err() != nil || address == r.address {
 		return r.runner
 	}
-	r.end()
+	r.stopRunner()
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.address, r.stop, r.ended = address, cancel, make(chan struct{})
 	r.runner = runner.New(r.agent.set.Instance.Name, r.agent.ctl, runner.NewRemote(address, r.agent.set.Instance.IP), r.agent.set.Agent.StartWord())
@@ -97,9 +97,9 @@
 	return r.runner
 }
 
-// end stops the runner, if any. Its runs continue under their leases, and the agent's next
+// stopRunner stops the runner, if any. Its runs continue under their leases, and the agent's next
 // session takes them over. The caller holds r.mu.
-func (r *runs) end() {
+func (r *runs) stopRunner() {
 	if r.stop == nil {
 		return
 	}
@@ -107,9 +107,9 @@
 	<-r.ended
 }
 
-// wait stops the runner and returns once it has ended.
-func (r *runs) wait() {
+// shutdown stops the runner and returns once it has ended.
+func (r *runs) shutdown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.end()
+	r.stopRunner()
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -103,13 +103,13 @@
 // State holds all records.
 type State struct {
 	Records map[Key]*Record `msgpack:"r"`
-	Order   []aged          `msgpack:"o"` // claims, oldest first
+	Order   []claimTime     `msgpack:"o"` // claims, oldest first
 	Bytes   int             `msgpack:"b"` // of kept answers
 	Dropped int             `msgpack:"d"` // leading items of Order whose answers have expired
 }
 
-// aged is a claimed key with the time of its claim.
-type aged struct {
+// claimTime is a claimed key with the time of its claim.
+type claimTime struct {
 	Key Key   `msgpack:"k"`
 	At  int64 `msgpack:"a"`
 }
@@ -144,7 +144,7 @@
 		return Result{}, refusal.New(refusal.KeyStoreFull, "wait, or send requests that need no key without one", "the store is full with %d keys", MaxRecords)
 	}
 	s.Records[c.Key] = &Record{Body: c.Body, Token: c.Token, At: now}
-	s.Order = append(s.Order, aged{c.Key, now})
+	s.Order = append(s.Order, claimTime{c.Key, now})
 	return Result{Granted: true}, nil
 }
 
@@ -162,13 +162,13 @@
 		r.Phase = Lost
 	default:
 		r.Phase = Finished
-		s.keep(r, c.Answer)
+		s.storeAnswer(r, c.Answer)
 	}
 	return true
 }
 
-// keep stores an answer in its record unless the answer or the store would be too large.
-func (s *State) keep(r *Record, a *Answer) {
+// storeAnswer stores an answer in its record unless the answer or the store would be too large.
+func (s *State) storeAnswer(r *Record, a *Answer) {
 	if len(a.Body) > MaxAnswerBytes || s.Bytes+len(a.Body) > MaxAnswerTotal {
 		return
 	}
@@ -176,7 +176,7 @@
 	s.Bytes += len(a.Body)
 }
 
-func (s *State) drop(r *Record) {
+func (s *State) dropAnswer(r *Record) {
 	if r.Answer != nil {
 		s.Bytes -= len(r.Answer.Body)
 		r.Answer = nil
@@ -186,22 +186,22 @@
 // expire removes keys and answers that are older than their retention times.
 func (s *State) expire(now int64) {
 	for len(s.Order) > 0 && s.Order[0].At <= now-TombstoneMS {
-		s.forget(s.Order[0])
+		s.removeKey(s.Order[0])
 		s.Order = s.Order[1:]
 		s.Dropped = max(s.Dropped-1, 0)
 	}
 	for s.Dropped < len(s.Order) && s.Order[s.Dropped].At <= now-AnswerMS {
 		o := s.Order[s.Dropped]
 		if r := s.Records[o.Key]; r != nil && r.At == o.At {
-			s.drop(r)
+			s.dropAnswer(r)
 		}
 		s.Dropped++
 	}
 }
 
-func (s *State) forget(o aged) {
+func (s *State) removeKey(o claimTime) {
 	if r := s.Records[o.Key]; r != nil && r.At == o.At {
-		s.drop(r)
+		s.dropAnswer(r)
 		delete(s.Records, o.Key)
 	}
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -7,7 +7,7 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-func claimIt(t *testing.T, s *State, key string, body uint64, token string, now int64) (Result, error) {
+func applyClaim(t *testing.T, s *State, key string, body uint64, token string, now int64) (Result, error) {
 	t.Helper()
 	return s.ApplyClaim(Claim{Key: MakeKey("m", "s", key), Body: body, Token: token}, now)
 }
@@ -16,23 +16,23 @@
 // first claim may be granted; the second finds it running and later gets its answer.
 func TestKeyRunsOnceAndReplays(t *testing.T) {
 	s := NewState()
-	if r, err := claimIt(t, s, "k", 1, "e1", 0); err != nil || !r.Granted {
+	if r, err := applyClaim(t, s, "k", 1, "e1", 0); err != nil || !r.Granted {
 		t.Fatalf("first: %+v %v", r, err)
 	}
-	if r, _ := claimIt(t, s, "k", 1, "e1", 1); !r.Granted {
+	if r, _ := applyClaim(t, s, "k", 1, "e1", 1); !r.Granted {
 		t.Fatal("a claim resent by the same entry was not granted")
 	}
-	if r, _ := claimIt(t, s, "k", 1, "e2", 2); r.Granted || r.Phase != Running {
+	if r, _ := applyClaim(t, s, "k", 1, "e2", 2); r.Granted || r.Phase != Running {
 		t.Fatalf("another entry's claim while the first runs: %+v", r)
 	}
-	if _, err := claimIt(t, s, "k", 2, "e2", 2); !refusal.Is(err, refusal.KeyMismatch) {
+	if _, err := applyClaim(t, s, "k", 2, "e2", 2); !refusal.Is(err, refusal.KeyMismatch) {
 		t.Fatalf("another body under the same key: %v", err)
 	}
 	if s.ApplySettle(Settle{Key: MakeKey("m", "s", "k"), Token: "e2", Release: true}) {
 		t.Fatal("a token that does not hold the claim released it")
 	}
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "k"), Token: "e1", Answer: &Answer{Status: 201, Body: []byte("slot 7")}})
-	if r, _ := claimIt(t, s, "k", 1, "e2", 3); r.Granted || r.Answer == nil || string(r.Answer.Body) != "slot 7" {
+	if r, _ := applyClaim(t, s, "k", 1, "e2", 3); r.Granted || r.Answer == nil || string(r.Answer.Body) != "slot 7" {
 		t.Fatalf("replay: %+v", r)
 	}
 }
@@ -41,14 +41,14 @@
 // not run may.
 func TestUnknownStaysUnknownAndNotRunIsFreed(t *testing.T) {
 	s := NewState()
-	claimIt(t, s, "lost", 1, "e1", 0)
+	applyClaim(t, s, "lost", 1, "e1", 0)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "lost"), Token: "e1"})
-	if r, _ := claimIt(t, s, "lost", 1, "e2", 1); r.Granted || r.Phase != Lost {
+	if r, _ := applyClaim(t, s, "lost", 1, "e2", 1); r.Granted || r.Phase != Lost {
 		t.Fatalf("a key settled as lost: %+v", r)
 	}
-	claimIt(t, s, "free", 1, "e1", 0)
+	applyClaim(t, s, "free", 1, "e1", 0)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "free"), Token: "e1", Release: true})
-	if r, _ := claimIt(t, s, "free", 1, "e2", 1); !r.Granted {
+	if r, _ := applyClaim(t, s, "free", 1, "e2", 1); !r.Granted {
 		t.Fatalf("a released key: %+v", r)
 	}
 }
@@ -57,12 +57,12 @@
 // refused with the reason that it was run, and must not run again.
 func TestOldKeyIsRefusedNotRunAgain(t *testing.T) {
 	s := NewState()
-	claimIt(t, s, "k", 1, "e1", 0)
+	applyClaim(t, s, "k", 1, "e1", 0)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "k"), Token: "e1", Answer: &Answer{Body: []byte("x")}})
-	if _, err := claimIt(t, s, "k", 1, "e2", AnswerMS+1); !refusal.Is(err, refusal.KeyExpired) || s.Bytes != 0 {
+	if _, err := applyClaim(t, s, "k", 1, "e2", AnswerMS+1); !refusal.Is(err, refusal.KeyExpired) || s.Bytes != 0 {
 		t.Fatalf("after an hour: %v, %d bytes kept", err, s.Bytes)
 	}
-	if r, _ := claimIt(t, s, "k", 1, "e2", TombstoneMS+1); !r.Granted {
+	if r, _ := applyClaim(t, s, "k", 1, "e2", TombstoneMS+1); !r.Granted {
 		t.Fatal("after a day the key can't be claimed again")
 	}
 }
@@ -72,17 +72,17 @@
 func TestFullStoreRefusesNewKeys(t *testing.T) {
 	s := NewState()
 	for i := range MaxRecords {
-		claimIt(t, s, fmt.Sprint(i), 1, "e", 0)
+		applyClaim(t, s, fmt.Sprint(i), 1, "e", 0)
 	}
-	if _, err := claimIt(t, s, "more", 1, "e", 1); !refusal.Is(err, refusal.KeyStoreFull) {
+	if _, err := applyClaim(t, s, "more", 1, "e", 1); !refusal.Is(err, refusal.KeyStoreFull) {
 		t.Fatalf("a new key in a full store: %v", err)
 	}
-	if r, _ := claimIt(t, s, "7", 1, "other", 1); r.Granted {
+	if r, _ := applyClaim(t, s, "7", 1, "other", 1); r.Granted {
 		t.Fatal("a claimed key was granted again in a full store")
 	}
 	big := make([]byte, MaxAnswerBytes+1)
 	s.ApplySettle(Settle{Key: MakeKey("m", "s", "1"), Token: "e", Answer: &Answer{Body: big}})
-	if _, err := claimIt(t, s, "1", 1, "other", 2); !refusal.Is(err, refusal.KeyExpired) {
+	if _, err := applyClaim(t, s, "1", 1, "other", 2); !refusal.Is(err, refusal.KeyExpired) {
 		t.Fatalf("after an answer too large to keep: %v", err)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -37,14 +37,14 @@
 	budgets map[string]*routing.Budget // by market/service
 	rng     *rand.Rand
 
-	started  time.Time
-	fresh    atomic.Int64 // when the latest successful sync was sent, nanoseconds since started
-	synced   atomic.Bool
-	draining atomic.Bool
-	requests atomic.Int64
-	settles  sync.WaitGroup
-	ids      ids
-	lastErr  string
+	started        time.Time
+	lastSync       atomic.Int64 // when the latest successful sync was sent, nanoseconds since started
+	synced         atomic.Bool
+	draining       atomic.Bool
+	requests       atomic.Int64
+	pendingSettles sync.WaitGroup
+	ids            ids
+	lastErr        string
 }
 
 // New returns an entry that is not running yet.
@@ -88,7 +88,7 @@
 		return nil
 	})
 	err = g.Wait()
-	e.settles.Wait()
+	e.pendingSettles.Wait()
 	return err
 }
 
@@ -156,7 +156,7 @@
 	e.mu.Lock()
 	e.table.Update(a.Revision, a.Index, a.Markets, a.Members)
 	e.mu.Unlock()
-	e.fresh.Store(int64(sent))
+	e.lastSync.Store(int64(sent))
 	e.synced.Store(true)
 }
 
@@ -171,7 +171,7 @@
 // cutOff reports whether the latest successful sync is so old that the entry can't know which
 // configuration is in force.
 func (e *Entry) cutOff() bool {
-	return time.Since(e.started)-time.Duration(e.fresh.Load()) > e.set.Entry.CutOffAfter.Duration
+	return time.Since(e.started)-time.Duration(e.lastSync.Load()) > e.set.Entry.CutOffAfter.Duration
 }
 
 // budget returns the retry budget of the route's service. The caller holds e.mu.
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -20,18 +20,18 @@
 	watchTimeout  = time.Second
 	// replyMargin is reserved from a caller's time-out for sending the answer.
 	replyMargin = 50 * time.Millisecond
-	// patience is how long a call that was certainly not accepted is retried. Most
+	// retryFor is how long a call that was certainly not accepted is retried. Most
 	// elections end within it; after it the caller gets an error with a retry time.
-	patience = 700 * time.Millisecond
+	retryFor = 700 * time.Millisecond
 )
 
 // Jobs is the gateway that forwards callers' jobs to the control. It caches no queues or jobs
 // that could be outdated: the leader looks them up. It is safe for concurrent use.
 type Jobs struct {
-	ctl    *control.Client
-	answer atomic.Int64 // when a replica last answered, nanoseconds since begun
-	begun  time.Time
-	order  answerOrder
+	ctl        *control.Client
+	lastAnswer atomic.Int64 // when a replica last answered, nanoseconds since started
+	started    time.Time
+	order      answerOrder
 }
 
 // NewJobs returns a gateway that is not running yet.
@@ -42,8 +42,8 @@
 	}
 	rpc := transport.NewClient(tlsConfig, set.Instance.IP)
 	ctl := control.NewClient(part, rpc, set.Contacts, rand.IntN(len(set.Contacts())))
-	ctl.SetPatience(patience)
-	return &Jobs{ctl: ctl, begun: time.Now()}, nil
+	ctl.SetPatience(retryFor)
+	return &Jobs{ctl: ctl, started: time.Now()}, nil
 }
 
 // Run keeps the addresses of the control replicas up to date until ctx ends.
@@ -68,7 +68,7 @@
 		return
 	}
 	j.ctl.Learn(a.Replicas)
-	j.answer.Store(int64(time.Since(j.begun)))
+	j.lastAnswer.Store(int64(time.Since(j.started)))
 }
 
 // readyFor is how long the gateway is ready after a replica's last answer. Two fetches in
@@ -77,8 +77,8 @@
 
 // Ready reports whether a control replica has answered recently.
 func (j *Jobs) Ready() bool {
-	at := time.Duration(j.answer.Load())
-	return at > 0 && time.Since(j.begun)-at < readyFor
+	at := time.Duration(j.lastAnswer.Load())
+	return at > 0 && time.Since(j.started)-at < readyFor
 }
 
 // Submit submits a job and returns once it is committed. After the error UnknownOutcome or
@@ -91,9 +91,9 @@
 	return j.ctl.Call(control.PathSubmitJob, within-replyMargin, &control.SubmitJob{Host: host, Path: path, Spec: spec}, nil)
 }
 
-// LookUp returns the state of a job or the length of a queue. If a later call was answered by an
-// older version of the configuration, the answer is withheld and the error is NoQuorum with a
-// retry time.
+// LookUp returns the state of a job or the length of a queue. If the configuration version of the
+// answer contradicts the answers to earlier or later calls (see answerOrder), the answer is
+// withheld and the error is NoQuorum with a retry time.
 func (j *Jobs) LookUp(host, path string, within time.Duration) (control.LookUpAnswer, error) {
 	arrived := time.Now()
 	var a control.LookUpAnswer
@@ -105,18 +105,18 @@
 	if !j.order.admit(arrived, version) {
 		logrus.WithFields(logrus.Fields{"job": path, "version": version, "held_ms": time.Since(arrived).Milliseconds()}).
 			Info("entry: Withheld an answer: its version contradicts answers to other calls.")
-		return control.LookUpAnswer{}, outdated()
+		return control.LookUpAnswer{}, errWithheld()
 	}
 	return a, err
 }
 
-// askAgain is the retry time for a caller whose answer was withheld. The leader answers
+// withheldRetryAfter is the retry time for a caller whose answer was withheld. The leader answers
 // calls again by then.
-const askAgain = 50 * time.Millisecond
+const withheldRetryAfter = 50 * time.Millisecond
 
-func outdated() error {
+func errWithheld() error {
 	e := refusal.New(refusal.NoQuorum, "ask again", "the configuration changed while the call was waiting")
-	e.RetryAfter = refusal.Spread(askAgain)
+	e.RetryAfter = refusal.Spread(withheldRetryAfter)
 	return e
 }
 
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -33,7 +33,7 @@
 	for {
 		result, err := e.claim(c, x.deadline)
 		if err != nil {
-			return e.unclaimed(c, err)
+			return e.claimFailed(c, err)
 		}
 		if result.Granted {
 			return e.runClaimed(x, c)
@@ -54,10 +54,10 @@
 	return a.Result, err
 }
 
-// unclaimed returns the verdict for a claim that was refused or not confirmed. The request was
+// claimFailed returns the verdict for a claim that was refused or not confirmed. The request was
 // not sent and no other request has this token, so it won't run. An unconfirmed claim may still
 // be committed; it is released so that the key does not stay blocked.
-func (e *Entry) unclaimed(c claim.Claim, err error) verdict {
+func (e *Entry) claimFailed(c claim.Claim, err error) verdict {
 	if r, ok := refusal.Of(err); ok {
 		switch r.Code {
 		case refusal.KeyMismatch, refusal.KeyStoreFull:
@@ -94,15 +94,15 @@
 		s.Release = true
 	case header.Done:
 		r := &x.ctx.Response
-		s.Answer = &claim.Answer{Status: r.StatusCode(), ContentType: string(r.Header.ContentType()), Body: keptBody(r)}
+		s.Answer = &claim.Answer{Status: r.StatusCode(), ContentType: string(r.Header.ContentType()), Body: bodyToStore(r)}
 	}
 	e.settle(s)
 	return v
 }
 
-// keptBody returns a copy of the body to store in the quorum. A larger body is cut to one byte
+// bodyToStore returns a copy of the body to store in the quorum. A larger body is cut to one byte
 // over the limit: the claim state then stores no answer, only that the request was run.
-func keptBody(r *fasthttp.Response) []byte {
+func bodyToStore(r *fasthttp.Response) []byte {
 	body := r.Body()
 	return append([]byte(nil), body[:min(len(body), claim.MaxAnswerBytes+1)]...)
 }
@@ -110,9 +110,9 @@
 // settle ends a claim in the background, so that the caller's answer does not wait for it. If
 // the call is lost, the key stays claimed and a repeated request gets the outcome unknown.
 func (e *Entry) settle(s claim.Settle) {
-	e.settles.Add(1)
+	e.pendingSettles.Add(1)
 	go func() {
-		defer e.settles.Done()
+		defer e.pendingSettles.Done()
 		if err := e.ctl.Call(control.PathSettle, settleTimeout, &s, nil); err != nil {
 			logrus.Warnf("entry: Could not settle a claim: %v.", err)
 		}
--- a/entry/order.go
+++ b/entry/order.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// crossing is the difference of arrival times above which two calls count as ordered.
+	// reorderWindow is the difference of arrival times above which two calls count as ordered.
 	// Calls that arrive closer together may have been sent in either order: the network
 	// path from a caller takes a few milliseconds, and a retransmission some tens.
-	crossing = 100 * time.Millisecond
-	// orderMemory is how long a version's answers are remembered. It is longer than the
+	reorderWindow = 100 * time.Millisecond
+	// spanRetention is how long a version's answers are remembered. It is longer than the
 	// longest observed time that a caller waits for one answer (3 s).
-	orderMemory = 30 * time.Second
+	spanRetention = 30 * time.Second
 )
 
 // answerOrder ensures that the configuration versions in an instance's answers do not decrease
@@ -44,18 +44,18 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, s := range o.spans {
-		olderCameLater := s.version < version && s.last.Sub(arrived) > crossing
-		newerCameBefore := s.version > version && arrived.Sub(s.first) > crossing
-		if olderCameLater || newerCameBefore {
+		olderAnsweredLater := s.version < version && s.last.Sub(arrived) > reorderWindow
+		newerAnsweredEarlier := s.version > version && arrived.Sub(s.first) > reorderWindow
+		if olderAnsweredLater || newerAnsweredEarlier {
 			return false
 		}
 	}
-	o.note(arrived, version)
+	o.record(arrived, version)
 	return true
 }
 
-func (o *answerOrder) note(arrived time.Time, version uint64) {
-	o.spans = slices.DeleteFunc(o.spans, func(s versionSpan) bool { return arrived.Sub(s.last) > orderMemory })
+func (o *answerOrder) record(arrived time.Time, version uint64) {
+	o.spans = slices.DeleteFunc(o.spans, func(s versionSpan) bool { return arrived.Sub(s.last) > spanRetention })
 	i := slices.IndexFunc(o.spans, func(s versionSpan) bool { return s.version == version })
 	if i < 0 {
 		o.spans = append(o.spans, versionSpan{version, arrived, arrived})
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -37,7 +37,7 @@
 
 // Calls that arrive within 100 ms of each other may have been sent in either order. A
 // configuration change between them must not cause either answer to be withheld.
-func TestCallsThatCrossMayBeAnsweredByEitherVersion(t *testing.T) {
+func TestConcurrentCallsMayBeAnsweredByEitherVersion(t *testing.T) {
 	var o answerOrder
 	start := time.Unix(0, 0)
 	if !o.admit(start.Add(60*time.Millisecond), 3) || !o.admit(start, 7) || !o.admit(start.Add(90*time.Millisecond), 3) {
@@ -55,8 +55,8 @@
 	for i := range 1000 {
 		o.admit(start.Add(time.Duration(i)*time.Second), uint64(i+1))
 	}
-	if n := len(o.spans); n > int(orderMemory/time.Second)+2 {
-		t.Errorf("%d versions are remembered", n)
+	if n := len(o.spans); n > int(spanRetention/time.Second)+2 {
+		t.Errorf("%d versions are kept", n)
 	}
 }
 
@@ -91,7 +91,7 @@
 		first <- err
 	}()
 	<-held
-	time.Sleep(crossing + crossing/2) // a longer sleep does not change the result
+	time.Sleep(reorderWindow + reorderWindow/2) // a longer sleep does not change the result
 	if _, err := j.LookUp("a.example", "/queue/later", 3*time.Second); !refusal.Is(err, refusal.NoRoute) {
 		t.Fatalf("the later call: %v", err)
 	}
@@ -120,5 +120,5 @@
 		<-done
 	})
 	contacts := []string{ln.Addr().String()}
-	return &Jobs{begun: time.Now(), ctl: control.NewClient(part, transport.NewClient(nil, "127.0.0.1"), func() []string { return contacts }, 0)}
+	return &Jobs{started: time.Now(), ctl: control.NewClient(part, transport.NewClient(nil, "127.0.0.1"), func() []string { return contacts }, 0)}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -16,8 +16,8 @@
 const (
 	// maxTries is the greatest number of agents that one request is sent to.
 	maxTries = 3
-	// minTry is the least time left with which a request is sent again.
-	minTry = 2 * time.Millisecond
+	// minRetryTime is the least time left with which a request is sent again.
+	minRetryTime = 2 * time.Millisecond
 	// answerGrace is how long past the deadline the entry waits for the agent to report
 	// that the deadline has passed.
 	answerGrace = 50 * time.Millisecond
@@ -163,7 +163,7 @@
 	if v.outcome == header.Unknown && !repeatable {
 		return false
 	}
-	if v.code == refusal.DeadlinePassed || len(x.tried) == 0 || len(x.tried) >= maxTries || time.Until(x.deadline) < minTry {
+	if v.code == refusal.DeadlinePassed || len(x.tried) == 0 || len(x.tried) >= maxTries || time.Until(x.deadline) < minRetryTime {
 		return false
 	}
 	e.mu.Lock()
@@ -200,16 +200,16 @@
 	}
 	x.resp.Reset()
 	x.resp.SkipBody = x.ctx.IsHead()
-	e.fill(req, x, choice)
+	e.buildRequest(req, x, choice)
 	err := e.rpc.Host(choice.Address).DoDeadline(req, x.resp, x.deadline.Add(answerGrace))
 	if err != nil {
-		return failed(err)
+		return callFailed(err)
 	}
-	return e.read(x)
+	return e.readAnswer(x)
 }
 
-// fill builds the request to the agent.
-func (e *Entry) fill(req *fasthttp.Request, x *exchange, choice routing.Choice) {
+// buildRequest builds the request to the agent.
+func (e *Entry) buildRequest(req *fasthttp.Request, x *exchange, choice routing.Choice) {
 	x.ctx.Request.CopyTo(req)
 	header.FromCaller(&req.Header)
 	req.Header.Set(header.ID, x.id)
@@ -218,8 +218,8 @@
 	e.rpc.Address(req, choice.Address)
 }
 
-// failed returns the verdict and the report for an error of the call to the agent.
-func failed(err error) (verdict, routing.Report) {
+// callFailed returns the verdict and the report for an error of the call to the agent.
+func callFailed(err error) (verdict, routing.Report) {
 	if header.NeverSent(err) {
 		return verdict{outcome: header.NotRun, code: refusal.SendFailed}, routing.Report{Free: -1, Unreached: err != fasthttp.ErrNoFreeConns}
 	}
@@ -230,8 +230,8 @@
 	return verdict{outcome: header.Unknown, code: code}, routing.Report{Free: -1, Failed: true}
 }
 
-// read evaluates an agent's answer. It rejects an answer that carries another request's id.
-func (e *Entry) read(x *exchange) (verdict, routing.Report) {
+// readAnswer evaluates an agent's answer. It rejects an answer that carries another request's id.
+func (e *Entry) readAnswer(x *exchange) (verdict, routing.Report) {
 	h := &x.resp.Header
 	if !bytes.Equal(h.Peek(header.ID), []byte(x.id)) {
 		// The answer belongs to another request and must not reach this caller.
@@ -244,7 +244,7 @@
 	case header.Done:
 		report.Failed = x.resp.StatusCode() >= fasthttp.StatusInternalServerError
 		v.code = ""
-		x.pass()
+		x.copyAnswer()
 	case header.NotRun:
 		report.Failed = v.code == refusal.NoUpstream || v.code == refusal.Leaving
 		report.Unreached = v.code == refusal.Leaving
@@ -257,8 +257,8 @@
 	return v, report
 }
 
-// pass copies the upstream's answer to the caller's response.
-func (x *exchange) pass() {
+// copyAnswer copies the upstream's answer to the caller's response.
+func (x *exchange) copyAnswer() {
 	closing := x.ctx.Response.ConnectionClose()
 	header.FromUpstream(&x.resp.Header)
 	x.resp.CopyTo(&x.ctx.Response)
--- a/entry/retry_test.go
+++ b/entry/retry_test.go
@@ -16,15 +16,15 @@
 // script lists the agents' answers, one for each try, whichever agent gets it. The last is
 // repeated.
 type script struct {
-	mu    sync.Mutex
-	words []string
-	tries int
+	mu      sync.Mutex
+	answers []string
+	tries   int
 }
 
 func (s *script) next() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.words[min(s.tries, len(s.words)-1)]
+	w := s.answers[min(s.tries, len(s.answers)-1)]
 	s.tries++
 	return w
 }
@@ -79,12 +79,12 @@
 // not-run only if no try can have run: a GET whose connection broke at one agent and that the
 // next one refused may have run at the first. A POST must be sent again only after a certain
 // not-run. An answer to another request must not reach the caller.
-func TestRetriesAndWhatIsToldOfThem(t *testing.T) {
+func TestRetriesAndReportedOutcome(t *testing.T) {
 	cases := []struct {
 		name    string
 		method  string
 		retry   market.RetryRule
-		words   []string
+		answers []string
 		outcome header.Outcome
 		tries   int
 	}{
@@ -98,7 +98,7 @@
 		{"answer to another request", "POST", market.RetrySafe, []string{"mixed", "done"}, header.Unknown, 1},
 	}
 	for _, c := range cases {
-		s := &script{words: c.words}
+		s := &script{answers: c.answers}
 		e := entryWith(t, s, c.retry)
 		var ctx fasthttp.RequestCtx
 		ctx.Request.Header.SetMethod(c.method)
--- a/market/state.go
+++ b/market/state.go
@@ -51,7 +51,7 @@
 	}
 	digest := c.digest()
 	if a, ok := s.Answers[c.ID]; ok {
-		return s.repeated(c, a, digest)
+		return s.answerRepeated(c, a, digest)
 	}
 	if err := s.checkBase(c); err != nil {
 		return Answer{}, err
@@ -60,8 +60,8 @@
 		return Answer{}, err
 	}
 	s.Revision++
-	s.mark(c)
-	s.remember(c.ID, answer{s.Revision, digest})
+	s.setRevision(c)
+	s.storeAnswer(c.ID, answer{s.Revision, digest})
 	return Answer{Revision: s.Revision}, nil
 }
 
@@ -77,7 +77,7 @@
 	return h.Sum64()
 }
 
-func (s *State) repeated(c Change, a answer, digest uint64) (Answer, error) {
+func (s *State) answerRepeated(c Change, a answer, digest uint64) (Answer, error) {
 	if a.Digest != digest {
 		return Answer{}, refusal.New(refusal.ChangeReused, "give every new change an id of its own", "change id %q was used for another change", c.ID)
 	}
@@ -85,7 +85,7 @@
 }
 
 func (s *State) checkBase(c Change) error {
-	revision, winner := s.scope(c)
+	revision, winner := s.currentRevision(c)
 	if c.Base == revision {
 		return nil
 	}
@@ -95,9 +95,9 @@
 	return e
 }
 
-// scope returns the revision that a change is compared with, and the change that set it: those
-// of the teams or of the change's market.
-func (s *State) scope(c Change) (revision uint64, winner string) {
+// currentRevision returns the revision that a change is compared with, and the change that set
+// it: those of the teams or of the change's market.
+func (s *State) currentRevision(c Change) (revision uint64, winner string) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
 		return s.Teams.Revision, s.Teams.Winner
 	}
@@ -107,8 +107,9 @@
 	return 0, ""
 }
 
-// mark sets the state's revision on the teams or the market that an accepted change concerns.
-func (s *State) mark(c Change) {
+// setRevision sets the state's revision on the teams or the market that an accepted change
+// concerns.
+func (s *State) setRevision(c Change) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
 		s.Teams.Revision, s.Teams.Winner = s.Revision, c.ID
 		return
@@ -118,7 +119,8 @@
 	s.Markets[c.Market] = v
 }
 
-func (s *State) remember(id string, a answer) {
+// storeAnswer stores the answer to a change and discards the oldest over MaxRemembered.
+func (s *State) storeAnswer(id string, a answer) {
 	s.Answers[id] = a
 	s.Order = append(s.Order, id)
 	if len(s.Order) > MaxRemembered {
--- a/market/state_test.go
+++ b/market/state_test.go
@@ -21,9 +21,9 @@
 	inForce  map[string]string
 }
 
-// race is one generated change of an operator. Ids, markets and bases come from small ranges, so
-// that changes collide often.
-type race struct{ ID, Market, Preset, Back int }
+// generatedChange is one generated change of an operator. Ids, markets and bases come from small
+// ranges, so that changes collide often.
+type generatedChange struct{ ID, Market, Preset, Back int }
 
 func (o *oracle) apply(c Change) (uint64, refusal.Code) {
 	if r, ok := o.accepted[c.ID]; ok {
@@ -37,6 +37,7 @@
 	return o.revision, ""
 }
 
+// seeded returns a state and a model with three markets, which have two presets each.
 func seeded() (*State, *oracle) {
 	s, o := NewState(), &oracle{markets: make(map[string]uint64), accepted: make(map[string]uint64), inForce: make(map[string]string)}
 	base := make(map[string]uint64)
@@ -62,12 +63,12 @@
 	params := gopter.DefaultTestParametersWithSeed(4)
 	params.MinSuccessfulTests = 300
 	props := gopter.NewProperties(params)
-	one := gen.Struct(reflect.TypeOf(race{}), map[string]gopter.Gen{"ID": gen.IntRange(0, 40), "Market": gen.IntRange(0, 2), "Preset": gen.IntRange(0, 1), "Back": gen.IntRange(0, 4)})
-	props.Property("changes", prop.ForAll(func(races []race) string {
+	one := gen.Struct(reflect.TypeOf(generatedChange{}), map[string]gopter.Gen{"ID": gen.IntRange(0, 40), "Market": gen.IntRange(0, 2), "Preset": gen.IntRange(0, 1), "Back": gen.IntRange(0, 4)})
+	props.Property("changes", prop.ForAll(func(races []generatedChange) string {
 		s, o := seeded()
 		seen := make(map[string]Change)
 		for i, r := range races {
-			if msg := s.race(o, seen, r); msg != "" {
+			if msg := s.applyAndCompare(o, seen, r); msg != "" {
 				return msg
 			}
 			if i%17 == 16 {
@@ -79,7 +80,8 @@
 	props.TestingRun(t)
 }
 
-func (s *State) race(o *oracle, seen map[string]Change, r race) string {
+// applyAndCompare applies a change to the state and to the model and returns the difference, or "".
+func (s *State) applyAndCompare(o *oracle, seen map[string]Change, r generatedChange) string {
 	c := Change{ID: fmt.Sprint("c", r.ID), Verb: UsePreset, Market: fmt.Sprint("m", r.Market), Name: fmt.Sprint("p", r.Preset)}
 	c.Base = o.markets[c.Market]
 	if r.Back == 0 && c.Base > 0 {
@@ -105,6 +107,7 @@
 	return ""
 }
 
+// restored returns the state as decoded from its own snapshot.
 func restored(s *State) *State {
 	b, err := msgpack.Marshal(s)
 	if err != nil {
--- a/market/types.go
+++ b/market/types.go
@@ -45,8 +45,8 @@
 // Timeout returns the maximum time of a request.
 func (s Service) Timeout() time.Duration { return time.Duration(s.TimeoutMS) * time.Millisecond }
 
-// Class defines whether a job's tasks end by themselves (batch) or run until they are stopped
-// (continuous).
+// Class defines whether a job's tasks end by themselves (batch) or are started again when they
+// end, until they are cancelled (continuous).
 type Class string
 
 // The classes of jobs.
@@ -68,7 +68,8 @@
 	// DeadlineMS counts from submission, in milliseconds; 0 means none.
 	DeadlineMS int64 `msgpack:"d,omitempty" json:"deadline_ms,omitempty"`
 	Urgent     bool  `msgpack:"u,omitempty" json:"urgent,omitempty"`
-	// MaxFailures is the number of failed attempts after which a task is not tried again.
+	// MaxFailures is the number of failed attempts after which a task is not tried again;
+	// 0 means a default.
 	MaxFailures int `msgpack:"f,omitempty" json:"max_failures,omitempty"`
 }
 
@@ -95,7 +96,7 @@
 	// which the interfering tasks are throttled, then evicted.
 	MaxSlowdown float64 `msgpack:"s" json:"max_slowdown"`
 	// Explore allows a task to be placed beside a service without measurements of the two
-	// together.
+	// together: its cost is then judged by the mean estimate, not by an upper one.
 	Explore bool       `msgpack:"e,omitempty" json:"explore,omitempty"`
 	CutOff  CutOffRule `msgpack:"o,omitempty" json:"cut_off,omitempty"`
 }
