--- a/agent/agent.go
+++ b/agent/agent.go
@@ -251,7 +251,7 @@
 		g.ledger.Replace(req.Member.Boot, a.Orders)
 	}
 	g.ledger.Throttle(a.Throttle)
-	g.ledger.Cordon(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
+	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
 	if workerAddr != "" {
 		g.syncWorker(workerAddr, report.ClockMS+a.LeaseMS)
 	}
--- a/agent/ledger.go
+++ b/agent/ledger.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// Cordon sets whether the data centre is out of service.
-func (l *Ledger) Cordon(cordoned bool) { l.cordoned = cordoned }
+// SetCordoned sets whether the data centre is out of service.
+func (l *Ledger) SetCordoned(cordoned bool) { l.cordoned = cordoned }
 
-// Cordoned returns the value last set by Cordon.
+// Cordoned returns the value last set by SetCordoned.
 func (l *Ledger) Cordoned() bool { return l.cordoned }
 
 // Throttle sets the tasks to be throttled.
--- a/agent/ledger_test.go
+++ b/agent/ledger_test.go
@@ -50,7 +50,7 @@
 	running := worker.TaskReport{Task: "old", Attempt: 1, Need: milliCPU(1), Running: true}
 	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
 	l.Replace("b", []lease.Order{{Task: "old", Attempt: 1, Need: milliCPU(1)}, {Task: "new", Attempt: 1, Need: milliCPU(1)}})
-	l.Cordon(true)
+	l.SetCordoned(true)
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "new" {
 		t.Fatalf("the worker's commands: %+v", s)
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -22,12 +22,12 @@
 const overrunWait = 30 * time.Second
 
 var (
-	lateAnswers   = metrics.NewCounter(`waxwinghaven_late_answers_total{part="agent"}`)
-	strayRequests = metrics.NewCounter(`waxwinghaven_stray_requests_total{part="agent"}`)
+	lateAnswers      = metrics.NewCounter(`waxwinghaven_late_answers_total{part="agent"}`)
+	orphanedRequests = metrics.NewCounter(`waxwinghaven_stray_requests_total{part="agent"}`)
 )
 
 // serveEntry handles a request from an entry. A request that is refused here has certainly
-// not been run.
+// not been run, even if the entry's information on this agent is outdated.
 func (g *Agent) serveEntry(ctx *fasthttp.RequestCtx) {
 	id := ctx.Request.Header.Peek(header.ID)
 	ctx.Response.Header.SetBytesV(header.ID, id)
@@ -162,7 +162,7 @@
 	g.meter.recordRequest(took, failed)
 	g.mu.Lock()
 	if c.err != nil && mayStillRun(c.err) {
-		strayRequests.Inc()
+		orphanedRequests.Inc()
 		g.gate.Stray()
 	} else {
 		wakeDecided(g.gate.Finish(took, time.Now()))
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -107,7 +107,8 @@
 	<-r.ended
 }
 
-// shutdown stops the runner and returns once it has ended.
+// shutdown stops the runner and returns once it has ended. It must be called after the context of
+// enable has ended, or else an announcement may start a new runner.
 func (r *runs) shutdown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -105,7 +105,7 @@
 	Records map[Key]*Record `msgpack:"r"`
 	Order   []claimTime     `msgpack:"o"` // claims, oldest first
 	Bytes   int             `msgpack:"b"` // of kept answers
-	Dropped int             `msgpack:"d"` // leading items of Order whose answers have expired
+	Expired int             `msgpack:"d"` // leading items of Order whose answers have expired
 }
 
 // claimTime is a claimed key with the time of its claim.
@@ -188,14 +188,14 @@
 	for len(s.Order) > 0 && s.Order[0].At <= now-TombstoneMS {
 		s.removeKey(s.Order[0])
 		s.Order = s.Order[1:]
-		s.Dropped = max(s.Dropped-1, 0)
+		s.Expired = max(s.Expired-1, 0)
 	}
-	for s.Dropped < len(s.Order) && s.Order[s.Dropped].At <= now-AnswerMS {
-		o := s.Order[s.Dropped]
+	for s.Expired < len(s.Order) && s.Order[s.Expired].At <= now-AnswerMS {
+		o := s.Order[s.Expired]
 		if r := s.Records[o.Key]; r != nil && r.At == o.At {
 			s.dropAnswer(r)
 		}
-		s.Dropped++
+		s.Expired++
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -97,7 +97,8 @@
 	drainPoll  = 20 * time.Millisecond
 )
 
-// drain waits until the load balancer has stopped sending requests and all requests have ended.
+// drain waits, within the drain time, until the load balancer has had time to stop sending
+// requests and all requests have ended.
 // Meanwhile answers carry "Connection: close", so that callers close their connections
 // themselves and none is reset.
 func (e *Entry) drain() {
--- a/market/state.go
+++ b/market/state.go
@@ -8,10 +8,10 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// MaxRemembered is the greatest number of change ids whose answers are kept: five days at
+// MaxKeptAnswers is the greatest number of change ids whose answers are kept: five days at
 // 3,900 changes a day. An older change that is sent again is refused because of its base
 // revision, so that it does not take effect twice either.
-const MaxRemembered = 20_000
+const MaxKeptAnswers = 20_000
 
 // State holds all markets and teams and the answers to recent changes.
 type State struct {
@@ -119,11 +119,11 @@
 	s.Markets[c.Market] = v
 }
 
-// storeAnswer stores the answer to a change and discards the oldest over MaxRemembered.
+// storeAnswer stores the answer to a change and discards the oldest beyond MaxKeptAnswers.
 func (s *State) storeAnswer(id string, a answer) {
 	s.Answers[id] = a
 	s.Order = append(s.Order, id)
-	if len(s.Order) > MaxRemembered {
+	if len(s.Order) > MaxKeptAnswers {
 		delete(s.Answers, s.Order[0])
 		s.Order = s.Order[1:]
 	}
--- a/market/state_test.go
+++ b/market/state_test.go
@@ -143,13 +143,13 @@
 	if _, err := s.Apply(first); err != nil {
 		t.Fatal(err)
 	}
-	for i := range MaxRemembered + 1 {
+	for i := range MaxKeptAnswers + 1 {
 		c := Change{ID: fmt.Sprint("x", i), Base: s.Markets["m1"].Revision, Verb: UsePreset, Market: "m1", Name: "p0"}
 		if _, err := s.Apply(c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(s.Answers) != MaxRemembered || len(s.Order) != MaxRemembered {
+	if len(s.Answers) != MaxKeptAnswers || len(s.Order) != MaxKeptAnswers {
 		t.Fatalf("%d answers kept", len(s.Answers))
 	}
 	if _, err := s.Apply(first); !refusal.Is(err, refusal.Conflict) {
