--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -16,13 +16,13 @@
 var watchQueues = queues.Config{Version: 1, Services: []queues.Service{{Name: "vault"}}, Queues: []queues.Queue{
 	{Name: "watch", Host: "a.example", Prefix: "/watch/", Service: "vault", TimeoutMS: 1000, TargetMS: 1000, Slack: 2}}}
 
-// standingJob asks for a number of processors for good.
+// standingJob returns a job whose single standing task needs the given number of processors.
 func standingJob(id string, processors int64) SubmitJob {
 	return SubmitJob{Host: "a.example", Path: "/watch/" + id, Spec: jobs.Spec{
 		Steps: []jobs.Step{{Count: 1, Need: resource.Vector{MilliCPU: processors * 1000}, Standing: true}}}}
 }
 
-// prepareJobs sends a configuration and a worker to whoever leads.
+// prepareJobs sends a configuration and registers worker "w" at the leader.
 func (c *cluster) prepareJobs(processors int64) {
 	c.t.Helper()
 	w := jobs.Worker{ID: "w", Agent: "a", Life: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: processors * 1000}}
@@ -40,10 +40,9 @@
 	})
 }
 
-// A caller hands a job in that the leader has no room for and is told to come back
-// later. A leader that was cut off, and may have been replaced by one that has taken
-// the job, must not say so: "not run" would be a lie. A job that is known is never
-// refused, however full the workers are.
+// Guards against a partitioned leader that refuses a job as overloaded: it may have been replaced
+// by a leader that has accepted the job, so "not run" would be false. Also checks that a known
+// job is never refused, however full the workers are.
 func TestOnlyAConfirmedLeaderRefuses(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -59,22 +58,22 @@
 	})
 	_, err := c.replicas[old].onSubmitJob(tooMuch)
 	if e, ok := refusal.Of(err); !ok || e.Code != refusal.Overloaded || e.RetryAfter <= 0 {
-		t.Fatalf("a job beyond the room: %v", err)
+		t.Fatalf("a job beyond the free capacity: %v", err)
 	}
 	if _, err := c.replicas[old].onSubmitJob(known); err != nil {
-		t.Fatalf("a known job handed in again: %v", err)
+		t.Fatalf("a known job submitted again: %v", err)
 	}
 	c.isolate(old, true)
 	if _, err := c.replicas[old].onSubmitJob(tooMuch); err == nil || refusal.Is(err, refusal.Overloaded) {
-		t.Fatalf("a cut off leader answers %v", err)
+		t.Fatalf("a partitioned leader answers %v", err)
 	}
 	c.isolate(old, false)
 }
 
-// Six callers hand in standing jobs at the same moment, each of which would fit the share of
-// the room that standing tasks may hold. Judged by what is placed, all six are taken, and the
-// tasks that come and go find no room for as long as they last.
-func TestStandingJobsThatComeTogetherShareTheRoom(t *testing.T) {
+// Guards against accepting more standing jobs than fit when they are submitted concurrently. Each
+// of the six fits the share of the capacity for standing tasks on its own; judged only by what is
+// already placed, all six are accepted and other tasks get no capacity for as long as they run.
+func TestStandingJobsThatComeTogetherShareCapacity(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(16)
 	r := c.replicas[c.leader()]
@@ -92,17 +91,17 @@
 	}
 	calls.Wait()
 	if n := taken.Load(); n != 3 {
-		t.Errorf("%d of 6 jobs that want a quarter of the room were taken, want 3", n)
+		t.Errorf("%d of 6 jobs that need a quarter of the capacity were accepted, want 3", n)
 	}
 	if left := r.dispatcher.reservedCPU(); len(left) != 0 {
-		t.Errorf("promised after all calls ended: %v", left)
+		t.Errorf("reserved after all calls ended: %v", left)
 	}
 }
 
-// An operator asks why starts take long. The leader tells with each plan since when the tasks
-// have waited that it places for the first time: since their job's arrival, or the end of the
-// last step that theirs depends on; never of a repetition, or of what an older leader knew.
-func TestOrdersTellSinceWhenTheirTaskHasWaited(t *testing.T) {
+// Start latencies are measured from the time that orders carry: the arrival of the job, or of the
+// last end among the steps that the task depends on. It is set for a task's first placement only,
+// and not for what an earlier leader received.
+func TestOrdersCarryTheStartOfTheWait(t *testing.T) {
 	state, s := jobs.NewState(), newWaitStarts()
 	rules := jobs.Rules{Cordoned: func(string) bool { return false }, Service: func(string, string) string { return "vault" }, MaxAttempts: func(string, string) int { return 3 }}
 	state.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Life: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}, 1)
@@ -120,7 +119,7 @@
 		return state.Orders("w", index-1)
 	}
 	s.submitted(id, at(5))
-	s.submitted(id, at(20)) // the same job handed in again
+	s.submitted(id, at(20)) // the same job submitted again
 	orders := place(s, 0, 30, 3)
 	if len(orders) != 1 || orders[0].SinceMS != 1005 || orders[0].AfterStep || orders[0].AtMS != 1030 {
 		t.Fatalf("the first step's order: %+v", orders)
@@ -144,6 +143,6 @@
 	s.forget(func(string) bool { return false })
 	s.fill(state, &plan, at(200))
 	if plan.Placements[0].SinceMS != 0 || len(s.submittedAt)+len(s.endedAt) != 0 {
-		t.Fatalf("after it was forgotten: %+v", plan)
+		t.Fatalf("after the job was forgotten: %+v", plan)
 	}
 }
--- a/control/barrier_test.go
+++ b/control/barrier_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// begunAt is an error that tells when the round began which brought it.
-type begunAt struct{ time.Time }
+// roundStart is an error that carries the start of the round that returned it.
+type roundStart struct{ time.Time }
 
-func (begunAt) Error() string { return "it does not lead" }
+func (roundStart) Error() string { return "not the leader" }
 
-// A leader that is slow to confirm its leadership is asked by all agents meanwhile. A round
-// for each ten milliseconds of calls would make it slower still; all that come while one is
-// under way share the next, and none is answered by a round that began before it came.
-func TestReadsThatComeTogetherShareOneRound(t *testing.T) {
+// Guards against overlapping rounds at a leader that is slow to confirm its leadership: one round
+// per 10 ms of calls would slow it down further. Calls that arrive during a round share the next
+// one, and none is answered by a round that began before the call.
+func TestConcurrentReadsShareOneRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rounds := 0
 		b := &sharedBarrier{confirm: func() error {
 			rounds++
-			begun := begunAt{time.Now()}
+			begun := roundStart{time.Now()}
 			time.Sleep(300 * time.Millisecond)
 			return begun
 		}}
 		var calls sync.WaitGroup
 		for range 1000 {
 			calls.Go(func() {
-				came := time.Now()
-				if begun, ok := b.wait().(begunAt); !ok || begun.Before(came) {
-					t.Errorf("came at %v, answered by a round that began at %v", came, begun)
+				called := time.Now()
+				if begun, ok := b.wait().(roundStart); !ok || begun.Before(called) {
+					t.Errorf("called at %v, answered by a round that began at %v", called, begun)
 				}
 			})
 			time.Sleep(time.Millisecond)
--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -13,16 +13,16 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// blob is a state machine whose snapshot has a fixed size.
+// blob is a state machine with a snapshot of fixed size.
 type blob struct{ size int }
 
 func (b blob) Apply(uint64, []byte) any  { return nil }
 func (b blob) Snapshot() ([]byte, error) { return make([]byte, b.size), nil }
 func (b blob) Restore([]byte) error      { return nil }
 
-// group is five replicas of a log, with their real links and disks, over a network in
+// logGroup is five replicas of a log, with their real links and disks, on a simulated network in
 // virtual time.
-type group struct {
+type logGroup struct {
 	tb    testing.TB
 	net   *memnet.Network
 	plan  catchUp
@@ -35,29 +35,29 @@
 
 const groupSize = 5
 
-// catchUp is what a replica that comes back lacks, and what goes on meanwhile. The
-// figures are of a fleet of 300 instances: 700 entries a second of 1,400 bytes, and
-// snapshots of up to 840 KB.
+// catchUp describes what a returning replica has missed, and the load meanwhile. The figures are
+// those of a fleet of 300 instances: 700 entries per second of 1,400 bytes, and snapshots of up
+// to 840 KB.
 type catchUp struct {
-	missed    int // entries while it was away
-	entry     int // bytes
-	snapshot  int // bytes
-	every     uint64
-	perSecond int // entries that are committed meanwhile
-	link      memnet.Link
+	missedEntries int // while the replica was down
+	entryBytes    int // bytes
+	snapshotBytes int // bytes
+	snapshotEvery uint64
+	perSecond     int // load while it catches up
+	link          memnet.Link
 }
 
-// sharedLink is a link of 200 Mbit/s of which half is left beside agents and entries.
+// sharedLink is a 200 Mbit/s link of which half is available; agents and entries use the rest.
 var sharedLink = memnet.Link{Delay: 1400 * time.Microsecond, BytesPerSec: 12_500_000}
 
-// narrowShare is what is left of such a link at the height of a burst.
-var narrowShare = memnet.Link{Delay: 1400 * time.Microsecond, BytesPerSec: 2_500_000}
+// narrowLink is what remains of such a link during a burst.
+var narrowLink = memnet.Link{Delay: 1400 * time.Microsecond, BytesPerSec: 2_500_000}
 
-func (g *group) ip(i int) string      { return fmt.Sprintf("10.0.0.%d", i+1) }
-func (g *group) address(i int) string { return g.ip(i) + ":7101" }
+func (g *logGroup) ip(i int) string      { return fmt.Sprintf("10.0.0.%d", i+1) }
+func (g *logGroup) address(i int) string { return g.ip(i) + ":7101" }
 
-func newGroup(tb testing.TB, plan catchUp) *group {
-	g := &group{tb: tb, net: memnet.New(plan.link), plan: plan}
+func newLogGroup(tb testing.TB, plan catchUp) *logGroup {
+	g := &logGroup{tb: tb, net: memnet.New(plan.link), plan: plan}
 	transport.SetNetwork(g.net)
 	tb.Cleanup(func() { transport.SetNetwork(nil) })
 	var set quorum.Config
@@ -77,14 +77,14 @@
 	return g
 }
 
-func (g *group) start(i int) {
+func (g *logGroup) start(i int) {
 	disk, err := quorum.OpenDiskAs(g.disks[i], uint64(i+1))
 	if err != nil {
 		g.tb.Fatal(err)
 	}
 	l := newLinks(quorum.Replica{ID: uint64(i + 1), Name: g.ip(i), Address: g.address(i)}, transport.NewClient(nil, g.ip(i)))
-	n, err := quorum.NewNode(quorum.Options{Disk: disk, Machine: blob{g.plan.snapshot}, Sender: l, TickEvery: 30 * time.Millisecond,
-		SnapshotEntries: g.plan.every, Seed: int64(i)})
+	n, err := quorum.NewNode(quorum.Options{Disk: disk, Machine: blob{g.plan.snapshotBytes}, Sender: l, TickEvery: 30 * time.Millisecond,
+		SnapshotEntries: g.plan.snapshotEvery, Seed: int64(i)})
 	if err != nil {
 		g.tb.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	g.stops[i] = func() { cancel(); ended.Wait(); l.close(); disk.Close() }
 }
 
-func (g *group) leader() int {
+func (g *logGroup) leader() int {
 	for i, n := range g.nodes {
 		if n.View().Role == quorum.Leader {
 			return i
@@ -115,7 +115,7 @@
 	return -1
 }
 
-func (g *group) status(i int) quorum.Status {
+func (g *logGroup) status(i int) quorum.Status {
 	st, err := g.nodes[i].Status(context.Background())
 	if err != nil {
 		g.tb.Fatal(err)
@@ -123,8 +123,8 @@
 	return st
 }
 
-// await polls in virtual time.
-func (g *group) await(what string, f func() bool) time.Duration {
+// await polls a condition in virtual time and returns how long it took.
+func (g *logGroup) await(what string, f func() bool) time.Duration {
 	g.tb.Helper()
 	begun := time.Now()
 	for range 60_000 {
@@ -133,41 +133,41 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	g.tb.Errorf("never: %s", what)
+	g.tb.Errorf("timed out: %s", what)
 	return time.Since(begun)
 }
 
-func (g *group) propose(n int) {
+func (g *logGroup) propose(n int) {
 	for range n {
 		leader := g.leader()
 		if leader < 0 {
-			g.tb.Error("nobody leads")
+			g.tb.Error("there is no leader")
 			return
 		}
-		if _, err := g.nodes[leader].Propose(context.Background(), make([]byte, g.plan.entry)); err != nil {
+		if _, err := g.nodes[leader].Propose(context.Background(), make([]byte, g.plan.entryBytes)); err != nil {
 			g.tb.Error(err)
 			return
 		}
 	}
 }
 
-// caughtUp is what bringing a replica up took.
-type caughtUp struct {
+// catchUpResult is the cost of bringing a replica up to date.
+type catchUpResult struct {
 	took    time.Duration
-	bytes   int64         // that the leader sent to it, beyond the load
-	silence time.Duration // longest time for which it heard no leader
+	bytes   int64         // sent to it by the leader beyond the load
+	silence time.Duration // longest time without contact to a leader
 }
 
-// run stops a replica, lets it miss what the plan says, starts it again beside the
-// load, and measures until it holds what was committed when it started.
-func (g *group) run() caughtUp {
+// run stops a replica, commits entries as the plan says, restarts it under load, and measures
+// until it has applied everything that was committed at its restart.
+func (g *logGroup) run() catchUpResult {
 	leader := g.leader()
 	away := (leader + 1) % groupSize
 	g.stops[away]()
 	var missing sync.WaitGroup
 	const callers = 50
 	for range callers {
-		missing.Go(func() { g.propose(g.plan.missed / callers) })
+		missing.Go(func() { g.propose(g.plan.missedEntries / callers) })
 	}
 	missing.Wait()
 	goal := g.status(leader).Commit
@@ -176,7 +176,7 @@
 	g.start(away)
 	sent := g.net.Carried(g.ip(leader))
 	begun, heard := time.Now(), time.Now()
-	var r caughtUp
+	var r catchUpResult
 	g.await("the replica catches up", func() bool {
 		st := g.status(away)
 		if st.InContact {
@@ -186,13 +186,13 @@
 		return st.Commit >= goal && st.Applied >= goal
 	})
 	r.took = time.Since(begun)
-	r.bytes = g.net.Carried(g.ip(leader)) - sent - int64(r.took.Seconds()*float64(g.plan.perSecond*g.plan.entry*(groupSize-1)))
+	r.bytes = g.net.Carried(g.ip(leader)) - sent - int64(r.took.Seconds()*float64(g.plan.perSecond*g.plan.entryBytes*(groupSize-1)))
 	close(stop)
 	g.load.Wait()
 	return r
 }
 
-func (g *group) keepProposing(stop chan struct{}) {
+func (g *logGroup) keepProposing(stop chan struct{}) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	if g.plan.perSecond == 0 {
@@ -210,45 +210,44 @@
 	}
 }
 
-func (g *group) stop() {
+func (g *logGroup) stop() {
 	for _, f := range g.stops {
 		f()
 	}
-	time.Sleep(time.Minute) // the connections' idle times
+	time.Sleep(time.Minute) // lets the connections reach their idle timeout
 }
 
-// catchUps are the cases, with the bounds that each must keep.
+// catchUps are the cases and their limits.
 var catchUps = []struct {
 	name string
 	plan catchUp
-	// most is what the leader may send beyond the load: what is missing once, and
-	// the framing.
-	most int64
+	// maxBytes bounds what the leader may send beyond the load: the missing data once, plus
+	// framing.
+	maxBytes int64
 }{
-	{"1500 entries", catchUp{missed: 1500, entry: 1400, snapshot: 840_000, every: 1 << 40, perSecond: 700, link: sharedLink}, 1500 * 1400 * 3 / 2},
-	{"20000 entries", catchUp{missed: 20_000, entry: 1400, snapshot: 840_000, every: 1 << 40, perSecond: 700, link: sharedLink}, 20_000 * 1400 * 3 / 2},
-	{"snapshot", catchUp{missed: 20_000, entry: 1400, snapshot: 840_000, every: 5000, perSecond: 700, link: sharedLink}, 8_000_000},
-	{"snapshot of 8 MB", catchUp{missed: 20_000, entry: 1400, snapshot: 8_000_000, every: 5000, perSecond: 700, link: sharedLink}, 24_000_000},
-	{"snapshot over a narrow link", catchUp{missed: 6000, entry: 1400, snapshot: 840_000, every: 5000, perSecond: 200, link: narrowShare}, 4_000_000},
+	{"1500 entries", catchUp{missedEntries: 1500, entryBytes: 1400, snapshotBytes: 840_000, snapshotEvery: 1 << 40, perSecond: 700, link: sharedLink}, 1500 * 1400 * 3 / 2},
+	{"20000 entries", catchUp{missedEntries: 20_000, entryBytes: 1400, snapshotBytes: 840_000, snapshotEvery: 1 << 40, perSecond: 700, link: sharedLink}, 20_000 * 1400 * 3 / 2},
+	{"snapshot", catchUp{missedEntries: 20_000, entryBytes: 1400, snapshotBytes: 840_000, snapshotEvery: 5000, perSecond: 700, link: sharedLink}, 8_000_000},
+	{"snapshot of 8 MB", catchUp{missedEntries: 20_000, entryBytes: 1400, snapshotBytes: 8_000_000, snapshotEvery: 5000, perSecond: 700, link: sharedLink}, 24_000_000},
+	{"snapshot over a narrow link", catchUp{missedEntries: 6000, entryBytes: 1400, snapshotBytes: 840_000, snapshotEvery: 5000, perSecond: 200, link: narrowLink}, 4_000_000},
 }
 
-// A replica comes back beside a fleet's load, over links that are shared. It must hold
-// what it missed within the time that the next loss may come in, hear its leader all
-// the while, and cost what it lacks, once. If contact waited behind bulk, and a call
-// that took too long were sent again from its start, it would hear nothing for many
-// seconds and be taken out of the set as silent.
+// Guards against a replica that cannot catch up under load on shared links. It must apply what it
+// missed before the next loss may occur, keep contact to its leader throughout, and receive the
+// missing data only once. If heartbeats queued behind bulk data, or calls that time out were
+// resent from the start, it would have no contact for many seconds and be removed from the set.
 func TestReplicaCatchesUpBesideTheLoad(t *testing.T) {
 	for _, c := range catchUps {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newGroup(t, c.plan)
+				g := newLogGroup(t, c.plan)
 				r := g.run()
 				g.stop()
 				t.Logf("%v, %.1f MB, heard no leader for %v", r.took, float64(r.bytes)/1e6, r.silence)
 				if r.took > 4*time.Second {
 					t.Errorf("it took %v", r.took)
 				}
-				if r.bytes > c.most {
+				if r.bytes > c.maxBytes {
 					t.Errorf("the leader sent %d bytes", r.bytes)
 				}
 				if r.silence > time.Second {
--- a/control/client.go
+++ b/control/client.go
@@ -102,7 +102,7 @@
 // combinedOutcome returns the outcome of several tries, of which e was the last.
 func combinedOutcome(e *refusal.Error, maybeTaken bool) error {
 	if maybeTaken && (e.Code == refusal.NotLeader || e.Code == refusal.NoQuorum || e.Code == refusal.SendFailed) {
-		return refusal.New(refusal.UnknownOutcome, "send the same again", "an earlier try may have been taken; the last one: %s", e.Message)
+		return refusal.New(refusal.UnknownOutcome, "send the same again", "an earlier try may have taken effect; the last one: %s", e.Message)
 	}
 	return e
 }
--- a/control/clock_test.go
+++ b/control/clock_test.go
@@ -10,13 +10,13 @@
 	"github.com/waxwinghaven/waxwinghaven/settings"
 )
 
-// A caller's job is due at a time of day. The clocks of two of five instances jump by
-// hours, ahead and back, and so does the leader's own; nothing may begin early or late
-// for it. When most clocks agree on another time, that is the time.
+// Guards against occurrences that start early or late because of wrong clocks. The clocks of two
+// of five agents jump by hours, forward and back, and so does the leader's own, without any
+// effect. When most clocks agree on another time, that time counts.
 func TestDueTimesFollowTheMedianOfManyClocks(t *testing.T) {
 	d := newDispatcher(newBareReplica(t))
 	truth := time.Now().Add(-24 * time.Hour) // the leader's own clock is a day ahead
-	tell := func(agent int, off time.Duration) {
+	report := func(agent int, off time.Duration) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.clock.set(fmt.Sprint(agent), truth.Add(time.Since(d.clock.started)+off).UnixMilli(), time.Now())
@@ -25,26 +25,26 @@
 		return time.Duration(d.nowMS()-truth.Add(time.Since(d.clock.started)).UnixMilli()) * time.Millisecond
 	}
 	for i := range 5 {
-		tell(i, time.Duration(i)*time.Millisecond)
+		report(i, time.Duration(i)*time.Millisecond)
 	}
 	if o := off(); o < -time.Second || o > time.Second {
 		t.Fatalf("the time is off by %v", o)
 	}
-	tell(0, 3*time.Hour)
-	tell(1, -5*time.Hour)
+	report(0, 3*time.Hour)
+	report(1, -5*time.Hour)
 	if o := off(); o < -time.Second || o > time.Second {
 		t.Fatalf("two of five clocks jumped, the time is off by %v", o)
 	}
 	for i := range 3 {
-		tell(i, 3*time.Hour)
+		report(i, 3*time.Hour)
 	}
 	if o := off(); o < 3*time.Hour-time.Second || o > 3*time.Hour+time.Second {
 		t.Fatalf("three of five clocks say three hours later, the time is off by %v", o)
 	}
 }
 
-// Each call of an agent asks for the time. A fleet of 2,700 would cost the leader a sort
-// of 2,700 clocks at each.
+// Guards against sorting all clocks for every agent call: with 2,700 agents the leader would sort
+// 2,700 clocks each time.
 func TestAskingForTheTimeCostsNothingMoreInALargeFleet(t *testing.T) {
 	c := newDuetime(time.Now())
 	for i := range 2700 {
@@ -64,9 +64,8 @@
 	}
 }
 
-// A job that ended is known for as long as callers may ask, counted on the leader's
-// steady clock from when it first saw it ended: a time of day that jumps ahead by a year
-// makes nothing forgotten.
+// Guards against forgetting ended jobs too early. The retention counts on the leader's monotonic
+// clock from when it first saw the job ended, so a wall clock that jumps by a year has no effect.
 func TestEndedJobsAreKnownHoweverClocksJump(t *testing.T) {
 	r := newBareReplica(t)
 	d := newDispatcher(r)
@@ -88,7 +87,7 @@
 	}
 }
 
-// newBareReplica is a replica with a state and nothing else.
+// newBareReplica returns a replica with an empty state and no other components.
 func newBareReplica(t *testing.T) *Replica {
 	t.Helper()
 	return &Replica{machine: NewMachine(), set: &settings.Settings{Control: &settings.Control{}}}
--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -12,21 +12,21 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-const hall = "dc" // in which the cluster's replicas stand
+const testDataCentre = "dc" // data centre of the cluster's replicas
 
-func stillAsked() bool { return true }
+func senderWaits() bool { return true }
 
-// request sends an order without a name to replicas by turns until one acknowledges it.
+// request sends an order without an id to the replicas in turn until one acknowledges it.
 func (c *cluster) request(phase datacentre.Phase) {
 	c.t.Helper()
 	i := 0
 	c.wait("the order is acknowledged", func() bool {
 		i++
-		return c.replicas[i%3].RequestDataCentre(hall, phase, stillAsked) == nil
+		return c.replicas[i%3].RequestDataCentre(testDataCentre, phase, senderWaits) == nil
 	})
 }
 
-// phase returns what a majority says of the data centre.
+// phase returns the data centre's phase, confirmed by a majority.
 func (c *cluster) phase() (p datacentre.Phase) {
 	c.t.Helper()
 	c.wait("the phase is read", func() bool {
@@ -34,16 +34,15 @@
 		if l < 0 {
 			return false
 		}
-		a, err := c.replicas[l].DataCentre(DataCentreQuery{Name: hall})
+		a, err := c.replicas[l].DataCentre(DataCentreQuery{Name: testDataCentre})
 		p = a.Phase
 		return err == nil
 	})
 	return p
 }
 
-// An operator takes a data centre out of service, and at the moment of the answer every
-// replica loses power. It is out of service still when they are back, whoever leads then,
-// and an agent's next lease says so.
+// Guards against a cordon that is lost: all replicas lose power right after it was acknowledged.
+// The data centre must still be out of service after the restart, and under the next leader.
 func TestDataCentreStaysOutOfService(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -64,14 +63,14 @@
 	}
 }
 
-// Another operator brings the data centre back while an order that takes it out is under way
-// between its arrival and its commit: at a replica that is slow, in a call to a leader that
-// stalls. That one was acknowledged, so the older must not act after it.
-func TestOrderOvertakenUnderWayIsRefused(t *testing.T) {
+// Guards against a stale order that takes effect after a later acknowledged one: a data centre is
+// brought back into service while an order to drain it is between arrival and commit, for example
+// at a slow replica or in a call to a stalled leader.
+func TestOvertakenOrderIsRefused(t *testing.T) {
 	c := newCluster(t)
 	c.request(datacentre.Cordoned)
 	for i := range c.replicas {
-		err := c.replicas[i].RequestDataCentre(hall, datacentre.Draining, func() bool {
+		err := c.replicas[i].RequestDataCentre(testDataCentre, datacentre.Draining, func() bool {
 			c.request(datacentre.InService)
 			return true
 		})
@@ -84,12 +83,12 @@
 	}
 }
 
-// The sender of an order gave up before a cut healed and its bytes came through. Nobody waits
-// for the answer, and a later order may have been acknowledged.
-func TestOrderThatNobodyWaitsForIsRefused(t *testing.T) {
+// Guards against an order whose sender gave up before a network partition healed and its bytes
+// arrived: the sender no longer waits, and a later order may have been acknowledged.
+func TestOrderWithoutWaitingSenderIsRefused(t *testing.T) {
 	c := newCluster(t)
 	c.request(datacentre.InService)
-	if err := c.replicas[0].RequestDataCentre(hall, datacentre.Cordoned, func() bool { return false }); err == nil {
+	if err := c.replicas[0].RequestDataCentre(testDataCentre, datacentre.Cordoned, func() bool { return false }); err == nil {
 		t.Error("it was acknowledged")
 	}
 	if p := c.phase(); p != datacentre.InService {
@@ -97,20 +96,20 @@
 	}
 }
 
-// A replica's machine is suspended for seconds, with an order in a socket. By
-// its steady clock no time has passed. What it reads in the first second is refused; after
-// that it takes orders again.
+// A replica's machine is suspended for seconds with an order in a socket; its monotonic clock
+// does not show it. Orders read in the first second afterwards must be refused, later ones
+// accepted.
 func TestOrderFromBeforeASuspensionIsRefused(t *testing.T) {
 	c := newCluster(t)
 	c.request(datacentre.InService)
 	var suspended atomic.Int64
 	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	suspended.Add(int64(5 * time.Second))
-	if err := c.replicas[0].RequestDataCentre(hall, datacentre.Cordoned, stillAsked); err == nil {
+	if err := c.replicas[0].RequestDataCentre(testDataCentre, datacentre.Cordoned, senderWaits); err == nil {
 		t.Error("an order read right after the suspension was acknowledged")
 	}
 	c.wait("orders are taken again", func() bool {
-		return c.replicas[0].RequestDataCentre(hall, datacentre.InService, stillAsked) == nil
+		return c.replicas[0].RequestDataCentre(testDataCentre, datacentre.InService, senderWaits) == nil
 	})
 	jump := time.AfterFunc(time.Millisecond, func() { suspended.Add(int64(5 * time.Second)) })
 	defer jump.Stop()
@@ -119,8 +118,8 @@
 	}
 }
 
-// An order spends more time between its arrival and the read that it builds on than its
-// sender waits for an answer.
+// Guards against an order that takes longer between its arrival and the read it builds on than
+// its sender waits for an answer.
 func TestOrderThatWasUnderWayForTooLongIsRefused(t *testing.T) {
 	r := newBareReplica(t)
 	var suspended atomic.Int64
@@ -130,19 +129,19 @@
 			r.stalls.observe(clock.Now())
 			suspended.Add(int64(stallCheckInterval))
 		}
-		_, err := r.baseOf(hall, func(DataCentreQuery) (DataCentreAnswer, error) {
+		_, err := r.baseOf(testDataCentre, func(DataCentreQuery) (DataCentreAnswer, error) {
 			suspended.Add(int64(took))
 			return DataCentreAnswer{}, nil
-		}, stillAsked)
+		}, senderWaits)
 		if (err == nil) != (took < maxOrderAge) {
 			t.Errorf("after %v: %v", took, err)
 		}
 	}
 }
 
-// The pulse tells of breaks of any kind: the process stood still by the steady clock, or the
-// machine was suspended.
-func TestPulseTellsOfBreaks(t *testing.T) {
+// The stall detector must notice both kinds of stalls: the process did not run according to the
+// monotonic clock, or the machine was suspended.
+func TestStallDetectorSeesStallsAndSuspensions(t *testing.T) {
 	var suspended atomic.Int64
 	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
 	at := func(d time.Duration) clock.Instant { suspended.Store(int64(d)); return clock.Now() }
@@ -158,14 +157,14 @@
 	}
 }
 
-// A misspelt name is refused for what it is and changes nothing, whichever replica is asked.
+// A misspelt name must be refused as invalid at every replica, without any effect.
 func TestUnknownDataCentreIsInvalid(t *testing.T) {
 	c := newCluster(t)
 	c.request(datacentre.InService)
 	for i := range c.replicas {
 		var err error
 		c.wait("a clear answer", func() bool {
-			err = c.replicas[i].RequestDataCentre("hal-a", datacentre.Cordoned, stillAsked)
+			err = c.replicas[i].RequestDataCentre("hal-a", datacentre.Cordoned, senderWaits)
 			return !refusal.Is(err, refusal.Unreachable)
 		})
 		if !refusal.Is(err, refusal.Invalid) {
@@ -179,13 +178,13 @@
 	})
 }
 
-// An operator's own order carries an id and what it builds on: sent again it gets its first
-// answer, of two that race one wins and the other is told who.
+// An operator's order carries an id and a base revision: resent, it gets its first answer, and of
+// two concurrent orders one succeeds while the other is told the winner.
 func TestOperatorsOrdersRaceForOneRevision(t *testing.T) {
 	c := newCluster(t)
 	order := func(id string, phase datacentre.Phase, base uint64) (a datacentre.Answer, err error) {
 		c.wait("an answer", func() bool {
-			a, err = c.replicas[c.leader()].OrderDataCentre(datacentre.Order{ID: id, Name: hall, Phase: phase, Base: base})
+			a, err = c.replicas[c.leader()].OrderDataCentre(datacentre.Order{ID: id, Name: testDataCentre, Phase: phase, Base: base})
 			return err == nil || refusal.Is(err, refusal.Conflict)
 		})
 		return a, err
@@ -204,12 +203,12 @@
 	}
 }
 
-// A member's announcement can't bring it back into service, nor can a snapshot; and one that
-// was made before there were such orders still loads, with everything in service.
+// Neither a member's announcement nor a snapshot may bring a data centre back into service. A
+// snapshot from a version without such orders must still load, with everything in service.
 func TestSnapshotKeepsDataCentres(t *testing.T) {
 	s := NewState()
-	m := membership.Member{Agent: "a", Address: "10.0.0.1:1", Boot: "b", DataCentre: hall}
-	for i, c := range []Command{{Announce: &m}, {DataCentre: &datacentre.Order{Name: hall, Phase: datacentre.Cordoned, ID: "o-1", AtMS: 7}}, {Announce: &m}} {
+	m := membership.Member{Agent: "a", Address: "10.0.0.1:1", Boot: "b", DataCentre: testDataCentre}
+	for i, c := range []Command{{Announce: &m}, {DataCentre: &datacentre.Order{Name: testDataCentre, Phase: datacentre.Cordoned, ID: "o-1", AtMS: 7}}, {Announce: &m}} {
 		if _, err := s.Apply(uint64(i+1), c); err != nil {
 			t.Fatal(err)
 		}
@@ -222,7 +221,7 @@
 	if err := after.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if c := after.state.DataCentres.Of(hall); c.Phase != datacentre.Cordoned || c.Revision != 2 || c.SinceMS != 7 || len(c.Taken) != 1 {
+	if c := after.state.DataCentres.Of(testDataCentre); c.Phase != datacentre.Cordoned || c.Revision != 2 || c.SinceMS != 7 || len(c.Taken) != 1 {
 		t.Errorf("after the snapshot it is %+v", c)
 	}
 	if !after.state.Members.Members["a"].Cordoned || after.state.capacity("a").Open {
@@ -240,7 +239,7 @@
 	if err := after.Restore(older); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := after.state.Apply(4, Command{DataCentre: &datacentre.Order{Name: hall, Phase: datacentre.Cordoned}}); err != nil || len(after.state.DataCentres.Out()) != 1 {
+	if _, err := after.state.Apply(4, Command{DataCentre: &datacentre.Order{Name: testDataCentre, Phase: datacentre.Cordoned}}); err != nil || len(after.state.DataCentres.Out()) != 1 {
 		t.Errorf("an order after an older snapshot: %v, out are %v", err, after.state.DataCentres.Out())
 	}
 }
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -49,26 +49,26 @@
 	r      *Replica
 	wakeup chan struct{}
 
-	mu           sync.Mutex
-	term         uint64
-	keeper       *lease.Keeper[holder]
-	watchers     map[string]chan struct{} // by worker id
-	avoided      map[string]time.Time     // until when a worker gets no new tasks, by worker id
-	clock        *duetime
-	overSince    map[string]time.Time        // when a job was first seen to have ended
-	waitingSince map[jobs.GroupKey]time.Time // since when a group has had startable tasks
-	openSince    map[string]time.Time        // since when a service has had a worker that accepts tasks
-	stalledAt    map[jobs.Stop]time.Time     // when last reported
-	stuckAt      map[jobs.Stop]time.Time     // when last reported
-	costs        *costs
-	durations    *durationModel
-	lessonWriter *lessonWriter
-	health       *dispatch.Health
-	waits        *waitStarts
-	advice       *adviceRequester
-	lastCopies   time.Time      // last check for runs that need a copy
-	lastRegroup  time.Time      // last regrouping of served tasks
-	inFlight     map[string]int // submissions being committed, by host and path
+	mu            sync.Mutex
+	term          uint64
+	keeper        *lease.Keeper[holder]
+	watchers      map[string]chan struct{} // by worker id
+	avoided       map[string]time.Time     // until when a worker gets no new tasks, by worker id
+	clock         *duetime
+	overSince     map[string]time.Time        // when a job was first seen to have ended
+	waitingSince  map[jobs.GroupKey]time.Time // since when a group has had startable tasks
+	openSince     map[string]time.Time        // since when a service has had a worker that accepts tasks
+	stalledAt     map[jobs.Stop]time.Time     // when last reported
+	stuckAt       map[jobs.Stop]time.Time     // when last reported
+	costs         *costs
+	durationModel *durationModel
+	lessonWriter  *lessonWriter
+	health        *dispatch.Health
+	waits         *waitStarts
+	advice        *adviceRequester
+	lastCopies    time.Time      // last check for runs that need a copy
+	lastRegroup   time.Time      // last regrouping of served tasks
+	inFlight      map[string]int // submissions being committed, by host and path
 	// reserved is the CPU, in thousandths, that standing tasks of submissions being committed
 	// will hold, by service. reserveMu serialises the calls that reserve from it.
 	reserved  map[string]int64
@@ -76,7 +76,7 @@
 }
 
 func newDispatcher(r *Replica) *dispatcher {
-	d := &dispatcher{r: r, wakeup: make(chan struct{}, 1), watchers: make(map[string]chan struct{}), costs: newCosts(r.without), durations: newDurationModel(), lessonWriter: newLessonWriter(), health: dispatch.NewHealth(), waits: newWaitStarts(), inFlight: make(map[string]int), reserved: make(map[string]int64)}
+	d := &dispatcher{r: r, wakeup: make(chan struct{}, 1), watchers: make(map[string]chan struct{}), costs: newCosts(r.without), durationModel: newDurationModel(), lessonWriter: newLessonWriter(), health: dispatch.NewHealth(), waits: newWaitStarts(), inFlight: make(map[string]int), reserved: make(map[string]int64)}
 	d.advice = newAdviceRequester(d)
 	d.reset(0)
 	return d
@@ -128,8 +128,8 @@
 	defer leases.Stop()
 	due := time.NewTicker(duePollInterval)
 	defer due.Stop()
-	survey := time.NewTicker(utilisationInterval)
-	defer survey.Stop()
+	utilisation := time.NewTicker(utilisationInterval)
+	defer utilisation.Stop()
 	forget := time.NewTicker(forgetInterval)
 	defer forget.Stop()
 	for {
@@ -140,7 +140,7 @@
 			if d.leads() {
 				d.expire()
 			}
-		case <-survey.C:
+		case <-utilisation.C:
 			if d.leads() {
 				d.logUtilisation()
 			}
@@ -232,7 +232,7 @@
 
 // input returns the input of a dispatch decision.
 func (d *dispatcher) input(s *State) dispatch.Input {
-	return dispatch.Input{Jobs: s.Jobs, Config: &s.Queues.Config, DataCentres: s.DataCentres, NowMS: d.nowMS(), Costs: d.costs.at(time.Now()), Estimates: d.durations.estimates(),
+	return dispatch.Input{Jobs: s.Jobs, Config: &s.Queues.Config, DataCentres: s.DataCentres, NowMS: d.nowMS(), Costs: d.costs.at(time.Now()), Estimates: d.durationModel.estimates(),
 		Ticket: d.advice.ticket, Leaving: s.Waves.Leaving(), Promised: d.reservedCPU(), Without: d.r.without}
 }
 
--- a/control/failover_bench_test.go
+++ b/control/failover_bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/waxwinghaven/waxwinghaven/market"
 )
 
-// How long no change is accepted after the leader is cut off silently, with the
+// Measures how long no change is accepted after the leader is silently partitioned, with the
 // default tick of 50 ms.
 func BenchmarkFailover(b *testing.B) {
 	c := newClusterAt(b, "50ms")
@@ -25,15 +25,15 @@
 		took = append(took, time.Since(start).Seconds())
 		n++
 		c.isolate(old, false)
-		c.inForceEverywhere(uint64(n))
+		c.waitRevision(uint64(n))
 	}
 	sort.Float64s(took)
 	b.ReportMetric(took[len(took)/2], "s-median")
 	b.ReportMetric(took[len(took)-1], "s-longest")
 }
 
-// How long a replica that was stopped takes to hold what it missed, from its
-// start. Snapshots are taken every 100 entries here.
+// Measures how long a stopped replica takes after its start to apply what it missed. Snapshots
+// are taken every 100 entries here.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, missed := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprint("changes=", missed), func(b *testing.B) {
@@ -51,7 +51,7 @@
 				}
 				start := time.Now()
 				c.start(away)
-				c.inForceEverywhere(uint64(n))
+				c.waitRevision(uint64(n))
 				took = append(took, time.Since(start).Seconds())
 			}
 			sort.Float64s(took)
--- a/control/headroom.go
+++ b/control/headroom.go
@@ -141,16 +141,16 @@
 	if least, known := h.forecast(worker, serving, now); known && !h.without.Foresight {
 		bound = least - minHeadroom
 	}
-	if bears, told := h.reportedSpare(worker, serving, now); told && !h.without.AgentsWord {
-		bound = math.Min(bound, bears)
+	if spare, reported := h.reportedSpare(worker, serving, now); reported && !h.without.AgentsWord {
+		bound = math.Min(bound, spare)
 	}
 	return math.Max(minBound, bound)
 }
 
 // spareNow returns the headroom that the served tasks can spare at the moment.
 func (h *headrooms) spareNow(worker, serving string, now time.Time) float64 {
-	bound, told := h.reportedSpare(worker, serving, now)
-	if !told {
+	bound, reported := h.reportedSpare(worker, serving, now)
+	if !reported {
 		bound = h.usualSpare(serving)
 	}
 	return math.Max(minBound, bound)
@@ -177,12 +177,12 @@
 }
 
 // reportedSpare returns the spare headroom that the agent reports for its tasks of the image.
-func (h *headrooms) reportedSpare(worker, serving string, now time.Time) (bears float64, told bool) {
-	bears = math.Inf(1)
+func (h *headrooms) reportedSpare(worker, serving string, now time.Time) (spare float64, reported bool) {
+	spare = math.Inf(1)
 	for key, s := range h.groups[worker] {
 		if key.image == serving && now.Sub(s.reportedAt) <= groupTTL {
-			bears, told = math.Min(bears, s.spare), true
+			spare, reported = math.Min(spare, s.spare), true
 		}
 	}
-	return bears, told
+	return spare, reported
 }
--- a/control/jobs.go
+++ b/control/jobs.go
@@ -230,9 +230,9 @@
 }
 
 // checkService refuses, on the leader, a service that is not in the configuration in force:
-// nothing can run there, and the name may be an error. Before the first configuration every
-// service is accepted, since workers may start earlier. A registered worker stays when its
-// service is removed: its runs continue.
+// nothing can run there, and the worker may not belong to this system. Before the first
+// configuration every service is accepted, since workers may start earlier. A registered worker
+// stays when its service is removed: its runs continue.
 func (r *Replica) checkService(w *jobs.Worker) (err error) {
 	if r.node.View().Role != quorum.Leader {
 		return nil // the proposal's refusal names the leader
--- a/control/lessons.go
+++ b/control/lessons.go
@@ -36,7 +36,7 @@
 	var all lessons.Update
 	d.r.machine.Read(func(s *State) { all = s.Lessons.All() })
 	d.costs.restore(all)
-	d.durations.restore(all.Durations)
+	d.durationModel.restore(all.Durations)
 	if !all.Empty() {
 		logrus.WithFields(logrus.Fields{"pairs": len(all.Pairs), "levels": len(all.Levels), "durations": len(all.Durations)}).Info("control: Restored the lessons of earlier leaders.")
 	}
@@ -63,7 +63,7 @@
 	if d.r.without.Lessons {
 		return
 	}
-	u := d.lessonWriter.next(d.costs, d.durations)
+	u := d.lessonWriter.next(d.costs, d.durationModel)
 	if u.Empty() {
 		return
 	}
--- a/control/lessons_test.go
+++ b/control/lessons_test.go
@@ -8,16 +8,16 @@
 	"github.com/waxwinghaven/waxwinghaven/lessons"
 )
 
-// Power is lost everywhere. Whoever leads then knows what a render takes of a watcher's
-// headroom, how much the watcher has, and how far the queue's declarations are off, before a
-// single reading has come; the agents, which knew it too, have lost it as well and are told.
+// After a loss of power everywhere, the new leader must know the costs of pairs, the served
+// image's usual headroom and the error of the queue's declared durations before the first reading
+// arrives. The agents have lost that knowledge too and must get it.
 func TestLessonsOutliveALossOfAllPower(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
 	d := c.replicas[c.leader()].dispatcher
-	costsAfter(d.costs, "w", "heavy", 0.15, 0, 8, 0, 8)
+	reportFillers(d.costs, "w", "heavy", 0.15, 0, 8, 0, 8)
 	for range 20 {
-		d.durations.durations.Note("a.example/watch/", 100, 400)
+		d.durationModel.durations.Note("a.example/watch/", 100, 400)
 	}
 	want := d.costs.at(time.Now()).Cost("watch", "heavy")
 	c.wait("the lessons are committed", func() (committed bool) {
@@ -33,37 +33,38 @@
 	for i := range c.replicas {
 		c.start(i)
 	}
-	c.wait("the next leader takes the lessons over", func() bool {
+	c.wait("the next leader restores the lessons", func() bool {
 		l := c.leader()
 		return l >= 0 && c.replicas[l].dispatcher.leads() && c.replicas[l].dispatcher.costs.at(time.Now()).Cost("watch", "heavy") == want
 	})
 	d = c.replicas[c.leader()].dispatcher
-	if ms := d.durations.Expect("a.example/watch/", 100); ms < 300 || ms > 500 {
+	if ms := d.durationModel.Expect("a.example/watch/", 100); ms < 300 || ms > 500 {
 		t.Errorf("a task declared at 100 ms is expected to take %.0f", ms)
 	}
 	if usual := d.costs.usualSpare("watch"); usual < 1.5 {
-		t.Errorf("the watcher is taken to have %.2f of headroom to spare", usual)
+		t.Errorf("the served image's usual spare headroom is %.2f", usual)
 	}
-	told, _ := d.costs.observe(&LeaseRequest{WorkerRef: WorkerRef{Worker: "w2"}}, time.Now())
-	if len(told) != 1 || told[0].Cost != want {
-		t.Errorf("an agent is told %+v", told)
+	pairs, _ := d.costs.observe(&LeaseRequest{WorkerRef: WorkerRef{Worker: "w2"}}, time.Now())
+	if len(pairs) != 1 || pairs[0].Cost != want {
+		t.Errorf("an agent gets %+v", pairs)
 	}
 }
 
-// Only what has changed is committed, and nothing over what a leader has seen itself.
+// Only changed lessons are committed, and restored ones never replace what a leader has observed
+// itself.
 func TestOnlyNewLessonsAreCommitted(t *testing.T) {
-	c, l, teacher := newCosts(ablation.Set{}), newDurationModel(), newLessonWriter()
-	costsAfter(c, "w", "heavy", 0.15, 0, 8, 0, 8)
-	first := teacher.next(c, l)
+	c, l, writer := newCosts(ablation.Set{}), newDurationModel(), newLessonWriter()
+	reportFillers(c, "w", "heavy", 0.15, 0, 8, 0, 8)
+	first := writer.next(c, l)
 	if len(first.Pairs) != 1 || len(first.Levels) != 1 || len(first.Durations) != 0 {
 		t.Fatalf("the first lessons are %+v", first)
 	}
-	if again := teacher.next(c, l); !again.Empty() {
+	if again := writer.next(c, l); !again.Empty() {
 		t.Errorf("without a change: %+v", again)
 	}
 	before := c.at(time.Now()).Cost("watch", "heavy")
 	c.restore(lessons.Update{Pairs: []lessons.Pair{{Serving: "watch", Filling: "heavy", Mean: 0.4, Var: 0.001, Seen: 9}}})
 	if got := c.at(time.Now()).Cost("watch", "heavy"); got != before {
-		t.Errorf("what was seen as %.3f became %.3f by an older lesson", before, got)
+		t.Errorf("an observed cost of %.3f became %.3f by an older lesson", before, got)
 	}
 }
--- a/control/links_test.go
+++ b/control/links_test.go
@@ -13,19 +13,19 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// arrivals notes the messages that arrive at a replica.
+// arrivals records the messages that arrive at a replica.
 type arrivals struct {
-	mu     sync.Mutex
-	append []uint64 // indexes, in the order of their arrival
-	beats  int
+	mu         sync.Mutex
+	append     []uint64 // indexes in order of arrival
+	heartbeats int
 }
 
-func (a *arrivals) take(b QuorumBatch) (Empty, error) {
+func (a *arrivals) receive(b QuorumBatch) (Empty, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range b.Messages {
 		if m.Kind == quorum.MsgHeartbeat {
-			a.beats++
+			a.heartbeats++
 			continue
 		}
 		a.append = append(a.append, m.Index)
@@ -33,8 +33,8 @@
 	return Empty{}, nil
 }
 
-// between runs f with links to a replica over a network, in virtual time.
-func between(t *testing.T, link memnet.Link, f func(l *links, to quorum.Replica, a *arrivals)) {
+// withLinks runs f with links to a replica over a simulated network, in virtual time.
+func withLinks(t *testing.T, link memnet.Link, f func(l *links, to quorum.Replica, a *arrivals)) {
 	synctest.Test(t, func(t *testing.T) {
 		transport.SetNetwork(memnet.New(link))
 		defer transport.SetNetwork(nil)
@@ -46,7 +46,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		a := &arrivals{}
 		server := transport.NewServer(part, nil)
-		server.Handle(PathQuorum, handle(a.take))
+		server.Handle(PathQuorum, handle(a.receive))
 		var served sync.WaitGroup
 		served.Go(func() { server.Serve(ctx, ln) })
 		l := newLinks(quorum.Replica{ID: 1, Address: "10.0.0.1:7101"}, transport.NewClient(nil, "10.0.0.1"))
@@ -54,7 +54,7 @@
 		l.close()
 		cancel()
 		served.Wait()
-		time.Sleep(time.Minute) // the connections' idle times
+		time.Sleep(time.Minute) // lets the connections reach their idle timeout
 	})
 }
 
@@ -62,12 +62,11 @@
 	return quorum.Message{Kind: quorum.MsgAppend, To: 2, Index: index, Entries: []quorum.Entry{{Index: index + 1, Data: make([]byte, bytes)}}}
 }
 
-// Small and large changes come in turns. If a large one overtook a small one on the way to
-// a replica, it would be refused for what lies before it and be sent again, with a round
-// trip more until callers have their answer.
+// Guards against large entries that overtake small ones or the reverse: the receiver rejects an
+// entry whose predecessor is missing, and resending costs callers another round trip.
 func TestEntriesKeepTheirOrder(t *testing.T) {
 	regions := memnet.Link{Delay: 20 * time.Millisecond, BytesPerSec: 1 << 30}
-	between(t, regions, func(l *links, to quorum.Replica, a *arrivals) {
+	withLinks(t, regions, func(l *links, to quorum.Replica, a *arrivals) {
 		var want []uint64
 		for i := range uint64(200) {
 			size := 1000
@@ -87,12 +86,12 @@
 	})
 }
 
-// A snapshot is on its way over a narrow link. The contact of the leader must arrive all the
-// while, or the replica takes it for gone.
-func TestContactDoesNotWaitBehindBulk(t *testing.T) {
-	between(t, memnet.Link{Delay: time.Millisecond, BytesPerSec: 1 << 20}, func(l *links, to quorum.Replica, a *arrivals) {
+// Guards against heartbeats that queue behind bulk data: while a snapshot is sent over a narrow
+// link they must keep arriving, or the replica takes its leader for failed.
+func TestHeartbeatsDoNotWaitBehindBulk(t *testing.T) {
+	withLinks(t, memnet.Link{Delay: time.Millisecond, BytesPerSec: 1 << 20}, func(l *links, to quorum.Replica, a *arrivals) {
 		for i := range uint64(8) {
-			l.Send(to, []quorum.Message{appendOf(i, 256<<10)}) // two seconds of the link
+			l.Send(to, []quorum.Message{appendOf(i, 256<<10)}) // two seconds of the link's capacity in total
 		}
 		const beats = 16
 		for range beats {
@@ -101,7 +100,7 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		a.mu.Lock()
-		got := a.beats
+		got := a.heartbeats
 		a.mu.Unlock()
 		if got < beats-1 {
 			t.Errorf("%d of %d heartbeats arrived", got, beats)
@@ -110,23 +109,23 @@
 	})
 }
 
-// A leader that is cut off stays named by the others until they notice. Without the age of what
-// they know, nobody can tell their word from that of replicas that hear it.
+// The other replicas keep naming a partitioned leader until they notice its loss. Clients can
+// only tell such information from a current one by its age.
 func TestReplicaKnowsHowLongAgoItHeardItsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGroup(t, catchUp{snapshot: 1000, every: 1 << 40, link: sharedLink})
+		g := newLogGroup(t, catchUp{snapshotBytes: 1000, snapshotEvery: 1 << 40, link: sharedLink})
 		leader := g.leader()
 		follower := g.nodes[(leader+1)%groupSize]
-		const contact = 200 * time.Millisecond // more than a heartbeat's interval and its way
+		const tolerance = 200 * time.Millisecond // more than a heartbeat interval plus the delay
 		g.await("the follower hears the leader", func() bool { return follower.View().Leader.ID == uint64(leader+1) })
-		if heard := follower.LeaderHeard(); heard > contact {
-			t.Errorf("heard %v ago from a leader in contact", heard)
+		if heard := follower.LeaderHeard(); heard > tolerance {
+			t.Errorf("heard %v ago from a reachable leader", heard)
 		}
 		g.net.Isolate(g.ip(leader), true)
-		const cut = 400 * time.Millisecond // less than an election timeout
-		time.Sleep(cut)
-		if heard := follower.LeaderHeard(); heard < cut-contact || heard > cut+contact {
-			t.Errorf("heard %v ago from a leader that was cut off %v ago", heard, cut)
+		const partition = 400 * time.Millisecond // less than an election timeout
+		time.Sleep(partition)
+		if heard := follower.LeaderHeard(); heard < partition-tolerance || heard > partition+tolerance {
+			t.Errorf("heard %v ago from a leader that was partitioned %v ago", heard, partition)
 		}
 		g.stop()
 	})
--- a/control/lent_test.go
+++ b/control/longestlease_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Guards against runs that are made void while they are at work: a late call for the start of the
-// worker before lent this one the platform's longest lease, and the book counts on the control's.
+// Guards against runs that are made void while active: a late call for the worker's previous
+// start extended its lease to the platform's longest one, while the lease table assumes the
+// control's term.
 func TestWorkerThatLateCallsMayHaveReachedIsLostOnlyAfterTheLongestLease(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
 	longest := l.set.Control.LongestLease.Duration
 	if longest < testTerm+4*watchInterval {
-		t.Fatalf("the longest lease is %v: nothing is shown", longest)
+		t.Fatalf("the longest lease of %v is too short for this test", longest)
 	}
 	first := testWorker("x-1", "b", "b1")
 	first.Token = c.token(l, "b")
@@ -25,16 +26,16 @@
 	begun := time.Now()
 	done, err := l.onRegister(Registration{Worker: next})
 	if err != nil || done.LentMS <= longest.Milliseconds() {
-		t.Fatalf("the agent is told %+v, %v", done, err)
+		t.Fatalf("the agent gets %+v, %v", done, err)
 	}
 	c.wait("the lease's end", func() bool { return !isRegistered(l, "x-2") })
 	if took := time.Since(begun); took < longest {
-		t.Errorf("the worker is taken for lost after %v; a late call may have lent it %v", took, longest)
+		t.Errorf("the worker is lost after %v; a late call may have extended its lease to %v", took, longest)
 	}
 }
 
-// Guards against a wait for the longest lease long after it has passed, and against a session that
-// claims it anew.
+// Guards against waiting for the longest lease although it has already passed, and against a
+// later session that claims it again.
 func TestLongestLeaseIsTakenBack(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -51,7 +52,7 @@
 	}
 	w.LentLate = false
 	if done, err := l.onRegister(Registration{Worker: w, Update: true}); err != nil || done.LentMS != 0 {
-		t.Fatalf("taken back: %+v, %v", done, err)
+		t.Fatalf("after the update: %+v, %v", done, err)
 	}
 	w.Life, w.LentLate, w.Token = "b3", true, c.token(l, "b")
 	if done, err := l.onRegister(Registration{Worker: w}); err != nil || done.LentMS != 0 {
@@ -59,7 +60,7 @@
 	}
 }
 
-// token is a fencing token for an agent.
+// token returns a fencing token for an agent.
 func (c *cluster) token(l *Replica, agent string) uint64 {
 	c.t.Helper()
 	a, err := l.onFence(FenceRequest{Agent: agent, Worker: "x", Service: "vault"})
--- a/control/loss_test.go
+++ b/control/loss_test.go
@@ -10,13 +10,13 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// testTerm is the lease in newCluster's settings, with its margin.
+// testTerm is the lease duration in newCluster's settings, with its margin.
 const testTerm = 1050 * time.Millisecond
 
-// lateBy is longer than the pause between two watches, and much shorter than the term.
-const lateBy = watchInterval + watchInterval/4
+// goroutineDelay is longer than the interval of watches, and much shorter than the term.
+const goroutineDelay = watchInterval + watchInterval/4
 
-// registerOnly commits a registration whose handler doesn't go on after the commit.
+// registerOnly commits a registration whose handler does not continue after the commit.
 func (c *cluster) registerOnly(l *Replica, w jobs.Worker) *jobs.Worker {
 	c.t.Helper()
 	v, err := l.proposeJob(JobCommand{Register: &Registration{Worker: w}})
@@ -32,13 +32,13 @@
 	return registered
 }
 
-func testWorker(id, agent, life string) jobs.Worker {
-	return jobs.Worker{ID: id, Agent: agent, Life: life, Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}
+func testWorker(id, agent, session string) jobs.Worker {
+	return jobs.Worker{ID: id, Agent: agent, Life: session, Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}
 }
 
-// Guards against runs that are made void while they have a lease: a loss was decided by what the
-// book said before the registration that it names.
-func TestRegistrationIsNotLostByTheBookOfTheOneBefore(t *testing.T) {
+// Guards against runs that are made void although the worker has a lease: the loss was decided
+// from the lease table entry of an earlier registration of that worker.
+func TestRegistrationIsNotLostByAnEarlierOnesLease(t *testing.T) {
 	for _, c := range []struct{ name, worker, agent string }{
 		{"a worker that is new to an old leader", "new", "b"},
 		{"a worker whose lease had ended", "w", "a"},
@@ -50,7 +50,7 @@
 			cl.wait("the lease's end", func() bool { return !isRegistered(l, "w") })
 			w := testWorker(c.worker, c.agent, "2")
 			done := cl.registerOnly(l, w)
-			time.Sleep(lateBy) // a goroutine that comes late on a busy machine
+			time.Sleep(goroutineDelay) // simulates a delayed goroutine on a busy machine
 			l.dispatcher.registered(done)
 			for range 10 {
 				if _, err := l.onLease(LeaseRequest{WorkerRef: WorkerRef{c.worker, "2"}}); err != nil {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against a lease that is granted while its end is being committed: what is started on it
-// is made void a moment later.
+// Guards against a lease that is granted while its expiry is being committed: runs started under
+// it would be made void a moment later.
 func TestNoLeaseIsGrantedBetweenALossAndItsCommit(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -75,16 +75,16 @@
 	closed := d.keeper.Close(holderOf(&w), time.Now().Add(2*testTerm))
 	d.mu.Unlock()
 	if !closed {
-		t.Fatal("the lease isn't ended: nothing is shown")
+		t.Fatal("the lease could not be closed")
 	}
-	d.registered(&w) // the handler of the registration that is being ended goes on late
+	d.registered(&w) // the handler of the registration that is being ended continues late
 	if _, err := l.onLease(LeaseRequest{WorkerRef: WorkerRef{"w", "1"}}); !refusal.Is(err, refusal.Unreachable) {
 		t.Errorf("a lease of registration %d, which is being ended: %v", w.Registered, err)
 	}
 }
 
-// Guards against a session that goes on after its worker was lost: its update would register it
-// anew, and it would start what was made void.
+// Guards against a session that continues after its worker was lost: its update would register
+// the worker anew, and the agent would start runs that were made void.
 func TestSessionOfALostWorkerCannotRegisterAgain(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -113,7 +113,7 @@
 	}
 	next, err := l.onFence(FenceRequest{Agent: "b", Worker: "x", Service: "vault"})
 	if err != nil || next.Worker != "" {
-		t.Fatalf("the next session is told of worker %q (%v)", next.Worker, err)
+		t.Fatalf("the next session gets worker %q (%v)", next.Worker, err)
 	}
 	w.Token, w.Life = next.Token, "b2"
 	if _, err := l.onRegister(Registration{Worker: w}); err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// Guards against a loss that is committed by a later leadership of the replica that decided it:
-// the workers have leases of the leader in between.
+// Guards against a loss that is committed in a later leadership of the replica that decided it:
+// the workers may hold leases of the leader in between.
 func TestLossIsCommittedInItsOwnLeadershipOnly(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against a member that is taken for down as soon as it is back: its announcement is
-// applied, and its handler hasn't told the book of leases yet.
+// Guards against a member that is marked down right after its return: its announcement is
+// applied, but its handler has not recorded its lease yet.
 func TestMemberThatIsBackIsNotTakenForDown(t *testing.T) {
 	c := newCluster(t)
 	l := c.replicas[c.leader()]
@@ -158,17 +158,17 @@
 	}
 	announce()
 	c.wait("the end of the first lease", func() bool { return phase() == membership.Down })
-	time.Sleep(2 * watchInterval) // that it has ended is seen to be committed
+	time.Sleep(2 * watchInterval) // until the expiry is seen to be committed
 	announce()
-	time.Sleep(lateBy) // a goroutine that comes late on a busy machine
+	time.Sleep(goroutineDelay) // simulates a delayed goroutine on a busy machine
 	if p := phase(); p != membership.Up {
 		t.Errorf("it is %v", p)
 	}
 }
 
-// Guards against a lease that is ended early: the watch had read its clock, waited for the state for
-// longer than a term, and entered a registration of meanwhile as of then.
-func TestWatchThatComesLateGivesAWholeTerm(t *testing.T) {
+// Guards against a lease that ends early: the watch read its clock, then waited for the state for
+// longer than a term, and recorded a registration made meanwhile with the old time.
+func TestDelayedWatchGivesAWholeTerm(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
@@ -184,7 +184,7 @@
 	<-watched
 	for _, x := range l.dispatcher.decideLoss().workers {
 		if x.Worker == "new" {
-			t.Error("a registration of a moment ago is taken for lost")
+			t.Error("a recent registration was declared lost")
 		}
 	}
 }
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -11,9 +11,10 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// All agents of a large fleet with a call open at one leader cost it more than all else it
-// does. Past those it keeps, each is sent to a follower, as many to each, and to one of its own
-// data centre where there is any; a small fleet's stay with the leader.
+// If all agents of a large fleet waited for orders at the leader, that would cost it more than
+// all its other work. Beyond its own share each agent must be sent to a follower, evenly
+// distributed and in its own data centre if possible; in a small fleet all agents stay with the
+// leader.
 func TestLargeFleetsAskFollowersForOrders(t *testing.T) {
 	var set quorum.Config
 	for i := range 5 {
@@ -52,8 +53,8 @@
 	}
 }
 
-// An agent has just registered, and the follower that it asks for orders has not heard of it
-// yet. Told that it isn't registered, it would end its session and register again, and again.
+// Guards against an agent in an endless loop of registrations: the follower that it asks for
+// orders has not applied its registration yet and must not answer that it is not registered.
 func TestFollowerThatIsBehindEndsNoSession(t *testing.T) {
 	s := NewState()
 	s.Jobs.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Life: "old", Service: "vault"}, 5)
@@ -66,7 +67,7 @@
 		code       refusal.Code
 	}{
 		{"the follower lacks the registration", 8, false, refusal.Behind},
-		{"an agent that doesn't tell where it was registered", 0, false, refusal.Behind},
+		{"an agent that doesn't send the index of its registration", 0, false, refusal.Behind},
 		{"the registration is known to be replaced", 7, false, refusal.NotRegistered},
 		{"the leader knows", 0, true, refusal.NotRegistered},
 		{"a new leader lacks the registration", 8, true, refusal.Behind},
@@ -77,19 +78,19 @@
 		}
 	}
 	if err := s.checkSession(&OrdersRequest{WorkerRef: WorkerRef{Worker: "w", Life: "old"}}, false); err != nil {
-		t.Errorf("a registered life: %v", err)
+		t.Errorf("a registered session: %v", err)
 	}
 }
 
-// The follower that an agent asks for orders is cut off from the leader, or gone. The agent
-// must have its orders all the same, at once, and leave that follower alone for a while.
+// If the follower that an agent asks for orders is partitioned or down, the agent must get its
+// orders from the leader without delay and skip that follower for a while.
 func TestOrdersComeFromTheLeaderWhereTheFollowerCannotAnswer(t *testing.T) {
 	var asked [2]int
 	answers := []error{refusal.New(refusal.NotLeader, "", "not current"), nil}
 	serve(t, "127.0.8.41:7880", func() error { asked[0]++; return answers[0] })
 	serve(t, "127.0.8.42:7880", func() error { asked[1]++; return answers[1] })
 	c := clientOf("127.0.8.42:7880")
-	c.Prefer([]string{"127.0.8.49:7880", "127.0.8.41:7880"}) // nobody listens at the first
+	c.Prefer([]string{"127.0.8.49:7880", "127.0.8.41:7880"}) // nothing listens at the first
 	for range 5 {
 		if err := c.CallAny(PathPutConfig, 5*time.Second, &Empty{}, nil); err != nil {
 			t.Fatal(err)
@@ -107,10 +108,10 @@
 		}
 	}
 	if asked != [2]int{4, 8} {
-		t.Errorf("one that lacks a moment is to be asked again: %v", asked)
+		t.Errorf("a replica that is only behind must be asked again: %v", asked)
 	}
 	answers[0] = refusal.New(refusal.NotRegistered, "", "replaced")
 	if err := c.CallAny(PathPutConfig, 5*time.Second, &Empty{}, nil); !refusal.Is(err, refusal.NotRegistered) || asked[1] != 8 {
-		t.Errorf("a verdict is asked for twice: %v, %v", err, asked)
+		t.Errorf("a final refusal was retried: %v, %v", err, asked)
 	}
 }
--- a/control/register_test.go
+++ b/control/register_test.go
@@ -9,16 +9,15 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Something announces a worker of a service that no configuration names. Taken in, it
-// would count as room and take another worker's place on its host. A worker that is
-// registered already stays when its service is taken out of the configuration: what it
-// runs goes on.
+// Guards against registering a worker whose service is in no configuration: it would count as
+// capacity and take the place of another worker on its host. A worker that is already registered
+// stays when its service is removed from the configuration: its runs continue.
 func TestWorkerOfAnUnknownServiceIsNotRegistered(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
-	stranger := jobs.Worker{ID: "x", Agent: "b", Life: "1", Service: "nobody's", Capacity: resource.Vector{MilliCPU: 1000}}
-	_, err := l.onRegister(Registration{Worker: stranger})
+	unknown := jobs.Worker{ID: "x", Agent: "b", Life: "1", Service: "nobody's", Capacity: resource.Vector{MilliCPU: 1000}}
+	_, err := l.onRegister(Registration{Worker: unknown})
 	if e, ok := refusal.Of(err); !ok || e.Code != refusal.UnknownService {
 		t.Fatalf("a worker of an unknown service: %v", err)
 	}
@@ -36,8 +35,8 @@
 	}
 }
 
-// Guards against a late registration of a session that another has followed: the worker refuses
-// its token, and would be served by nobody.
+// Guards against a late registration from a superseded session: the worker rejects its token, so
+// no agent would serve the worker.
 func TestOvertakenRegistrationIsRefused(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
--- a/control/replica.go
+++ b/control/replica.go
@@ -209,7 +209,7 @@
 	case errors.Is(err, quorum.ErrUnknown):
 		return refusal.New(refusal.UnknownOutcome, "send the same change again under the same id", "the leader changed before the change was committed")
 	case errors.Is(err, quorum.ErrDiskFull):
-		return refusal.New(refusal.DiskFull, "free room on the control replica's disk", "the data folder of %s is full", r.self.Name)
+		return refusal.New(refusal.DiskFull, "free space on the control replica's disk", "the data folder of %s is full", r.self.Name)
 	}
 	view := r.node.View()
 	if view.Leader.ID != 0 && view.Leader.ID != r.self.ID {
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -19,19 +19,19 @@
 	"github.com/waxwinghaven/waxwinghaven/transport"
 )
 
-// cluster is three replicas in this process, each on a loopback address of its
-// own, with real sockets and disks.
+// cluster is three replicas in this process, each on its own loopback address, with real sockets
+// and disks.
 type cluster struct {
-	t        testing.TB
-	tick     string
-	dir      string
-	net      int
-	replicas [3]*Replica
-	cancel   [3]context.CancelFunc
-	done     [3]chan error
-	mu       sync.Mutex
-	cut      map[string]bool // isolated IP numbers
-	equip    func(*Replica)  // before it runs
+	t         testing.TB
+	tick      string
+	dir       string
+	net       int
+	replicas  [3]*Replica
+	cancel    [3]context.CancelFunc
+	done      [3]chan error
+	mu        sync.Mutex
+	cut       map[string]bool // isolated IP addresses
+	configure func(*Replica)  // called before a replica runs
 }
 
 var nextNet = os.Getpid() % 200
@@ -46,11 +46,11 @@
 	return newClusterWith(t, tick, func(*Replica) {})
 }
 
-func newClusterWith(t testing.TB, tick string, equip func(*Replica)) *cluster {
+func newClusterWith(t testing.TB, tick string, configure func(*Replica)) *cluster {
 	t.Helper()
 	logrus.SetOutput(io.Discard)
 	nextNet++
-	c := &cluster{t: t, tick: tick, dir: t.TempDir(), net: nextNet, cut: make(map[string]bool), equip: equip}
+	c := &cluster{t: t, tick: tick, dir: t.TempDir(), net: nextNet, cut: make(map[string]bool), configure: configure}
 	transport.SetFault(c.isCut)
 	for i := range c.replicas {
 		c.start(i)
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 110+os.Getpid()/200%100, c.net, i+1)
 }
 
-// isCut isolates replicas from each other, not from the test.
+// isCut isolates replicas from each other, but not from the test.
 func (c *cluster) isCut(from, to string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +97,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.equip(r)
+	c.configure(r)
 	ctx, cancel := context.WithCancel(context.Background())
 	c.replicas[i], c.cancel[i], c.done[i] = r, cancel, make(chan error, 1)
 	go func() { c.done[i] <- r.Run(ctx) }()
@@ -112,7 +112,7 @@
 	c.cancel[i] = nil
 }
 
-// wait polls a condition; the bound only ends a hopeless wait.
+// wait polls a condition; the limit only ends a wait that cannot succeed.
 func (c *cluster) wait(what string, f func() bool) {
 	c.t.Helper()
 	for range 3000 {
@@ -121,7 +121,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.t.Fatalf("never: %s", what)
+	c.t.Fatalf("timed out: %s", what)
 }
 
 func (c *cluster) leader() int {
@@ -166,7 +166,7 @@
 	return rev
 }
 
-func (c *cluster) inForceEverywhere(want uint64) {
+func (c *cluster) waitRevision(want uint64) {
 	c.t.Helper()
 	c.wait(fmt.Sprint("revision ", want, " everywhere"), func() bool {
 		for i := range c.replicas {
@@ -182,16 +182,16 @@
 	return market.Change{ID: fmt.Sprint("team-", n), Base: uint64(n), Verb: market.PutTeam, Team: &market.Team{Name: fmt.Sprint("t", n)}}
 }
 
-// The leader is cut off silently while operators work. A change is accepted by
-// the others; the cut off one answers no read, no renewal and no news as
-// current, and what it was asked to change meanwhile is never accepted. When the
-// cut heals it takes over what was accepted; nothing goes back.
+// Guards against stale answers of a leader that is silently partitioned while changes continue.
+// The majority accepts a change; the partitioned leader must not serve reads, renewals or syncs
+// as current, and a change proposed to it must never be accepted. After the partition heals it
+// applies what was accepted, and nothing is undone.
 func TestIsolatedLeaderServesNothingAsCurrent(t *testing.T) {
 	c := newCluster(t)
 	if _, err := c.change(team(0)); err != nil {
 		t.Fatal(err)
 	}
-	c.inForceEverywhere(1)
+	c.waitRevision(1)
 	old := c.leader()
 	renewal := Renew{Member: membership.Member{Agent: "a", Address: "127.0.0.1:1", Boot: "b"}}
 	if _, err := c.replicas[old].onRenew(renewal); err != nil {
@@ -200,35 +200,35 @@
 	c.isolate(old, true)
 	lost := market.Change{ID: "lost", Base: 1, Verb: market.PutTeam, Team: &market.Team{Name: "lost"}}
 	if _, err := c.replicas[old].propose(Command{Change: &lost}); err == nil {
-		t.Fatal("a cut off leader accepted a change")
+		t.Fatal("a partitioned leader accepted a change")
 	}
 	c.wait("a new leader", func() bool { return c.leader() >= 0 })
 	if a, err := c.change(team(1)); err != nil || a.Revision != 2 {
 		t.Fatalf("the majority's change: %+v %v", a, err)
 	}
 	if err := c.replicas[old].barrier(); err == nil {
-		t.Fatal("the cut off leader confirmed a read")
+		t.Fatal("the partitioned leader confirmed a read")
 	}
 	if _, err := c.replicas[old].onSync(Sync{}); err == nil {
-		t.Fatal("the cut off leader served news as current")
+		t.Fatal("the partitioned leader served a sync as current")
 	}
 	if _, err := c.replicas[old].onRenew(renewal); err == nil {
-		t.Fatal("the cut off leader granted a lease")
+		t.Fatal("the partitioned leader granted a lease")
 	}
 	c.isolate(old, false)
-	c.inForceEverywhere(2)
+	c.waitRevision(2)
 	for i := range c.replicas {
 		c.replicas[i].machine.Read(func(s *State) {
 			if _, ok := s.Market.Teams.ByName["lost"]; ok {
-				t.Errorf("replica %d took over a change that was refused", i)
+				t.Errorf("replica %d applied a change that was refused", i)
 			}
 		})
 	}
 }
 
-// An operator loses the answer to a change and sends it again: through another
-// replica, after snapshots, and after a restart of all three. It always gets
-// the first answer, and the change takes effect once.
+// Guards against a change that is applied twice: an operator loses the answer and resends the
+// change through another replica, after snapshots, and after a restart of all replicas. It must
+// always get the first answer.
 func TestResentChangeGetsItsFirstAnswer(t *testing.T) {
 	c := newCluster(t)
 	first, err := c.change(team(0))
@@ -257,12 +257,12 @@
 		c.start(i)
 	}
 	resend("after a restart of all")
-	c.inForceEverywhere(250)
+	c.waitRevision(250)
 }
 
-// A replica is away while 500 changes go by, and is brought up when it comes
-// back. Then another loses its disk, rejoins under a new identity, and right
-// after the repair a second disk is lost. Every accepted change is still there.
+// A replica misses 500 changes and catches up. Then another loses its disk and rejoins under a
+// new identity, and right after that repair a second disk is lost. Every accepted change must
+// survive.
 func TestLostDisksLoseNoChange(t *testing.T) {
 	c := newCluster(t)
 	away := (c.leader() + 1) % 3
@@ -273,7 +273,7 @@
 		}
 	}
 	c.start(away)
-	c.inForceEverywhere(500)
+	c.waitRevision(500)
 	for round, victim := range []int{(c.leader() + 1) % 3, (c.leader() + 2) % 3} {
 		id := c.replicas[victim].self.ID
 		c.stop(victim)
@@ -296,7 +296,7 @@
 			t.Fatalf("a change after repair %d: %+v %v", round, a, err)
 		}
 	}
-	c.inForceEverywhere(502)
+	c.waitRevision(502)
 	c.replicas[0].machine.Read(func(s *State) {
 		if len(s.Market.Teams.ByName) != 502 {
 			t.Errorf("%d of 502 teams", len(s.Market.Teams.ByName))
@@ -304,13 +304,13 @@
 	})
 }
 
-// A follower's word that another replica leads carries its age, without which clients go back to
-// a leader that is gone.
-func TestWordOfALeaderTellsItsAge(t *testing.T) {
+// A follower's refusal that names the leader must carry the age of that information; without it
+// clients return to a leader that is gone.
+func TestRefusalTellsHowLongAgoTheLeaderWasHeard(t *testing.T) {
 	c := newCluster(t)
 	other := c.replicas[(c.leader()+1)%len(c.replicas)]
 	c.wait("the leader is known", func() bool { return other.node.View().Leader.ID != 0 })
 	if e, ok := refusal.Of(other.refusalOf(quorum.ErrNotLeader)); !ok || e.Leader == "" || e.LeaderHeard <= 0 {
-		t.Errorf("the word is %+v", e)
+		t.Errorf("the refusal is %+v", e)
 	}
 }
--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -15,16 +15,16 @@
 // Shortage reports that the replica set tolerates fewer losses than required.
 type Shortage struct {
 	Since time.Time `json:"since"`
-	// Bears is how many more replicas the set can lose now, and Must how many a complete set has
-	// to tolerate.
-	Bears int    `json:"bears"`
-	Must  int    `json:"must_bear"`
-	Why   string `json:"why"`
+	// Tolerated is how many more replicas the set can lose now, and Required how many a complete set
+	// has to tolerate.
+	Tolerated int    `json:"bears"`
+	Required  int    `json:"must_bear"`
+	Why       string `json:"why"`
 }
 
 // String returns the shortage as one line of a table.
 func (s *Shortage) String() string {
-	return fmt.Sprintf("bears %d more losses, must bear %d, since %s: %s", s.Bears, s.Must, s.Since.UTC().Format(time.RFC3339), s.Why)
+	return fmt.Sprintf("tolerates %d more losses, must tolerate %d, since %s: %s", s.Tolerated, s.Required, s.Since.UTC().Format(time.RFC3339), s.Why)
 }
 
 var shortages = metrics.NewCounter(`waxwinghaven_replica_set_short_total`)
@@ -46,21 +46,21 @@
 		w.end(st.Role == quorum.Leader)
 		return
 	}
-	next := Shortage{Since: now, Bears: spare, Must: must, Why: shortageOf(st, must)}
+	next := Shortage{Since: now, Tolerated: spare, Required: must, Why: shortageOf(st, must)}
 	if w.short == nil {
 		shortages.Inc()
 	} else {
 		next.Since = w.short.Since
 	}
-	if w.short == nil || w.short.Bears != next.Bears {
-		logrus.WithFields(logrus.Fields{"bears": next.Bears, "must_bear": must, "why": next.Why}).
+	if w.short == nil || w.short.Tolerated != next.Tolerated {
+		logrus.WithFields(logrus.Fields{"bears": next.Tolerated, "must_bear": must, "why": next.Why}).
 			Warn("control: The replica set tolerates fewer losses than required.")
 	}
 	w.short = &next
 }
 
-func (w *replicaSetMonitor) end(whole bool) {
-	if w.short != nil && whole {
+func (w *replicaSetMonitor) end(recovered bool) {
+	if w.short != nil && recovered {
 		logrus.WithFields(logrus.Fields{"short_for": time.Since(w.short.Since).Round(time.Millisecond).String()}).
 			Info("control: The replica set tolerates the required losses again.")
 	}
@@ -101,7 +101,7 @@
 // repair takes the next step towards a complete replica set, and records any shortage.
 func (r *Replica) repair(ctx context.Context) {
 	must := r.set.Losses()
-	took, err := r.node.Repair(ctx, must)
+	changed, err := r.node.Repair(ctx, must)
 	st, serr := r.node.Status(ctx)
 	if serr != nil {
 		return // the node is stopping
@@ -110,7 +110,7 @@
 	switch {
 	case err != nil:
 		logrus.Debugf("control: The replica set was not changed: %v.", err)
-	case took:
+	case changed:
 		logrus.WithFields(logrus.Fields{"voters": names(st.Config.Voters), "learners": names(st.Config.Learners), "old_voters": names(st.Config.Old)}).
 			Info("control: Changed the replica set.")
 	}
--- a/control/schedule_bench_test.go
+++ b/control/schedule_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/waxwinghaven/waxwinghaven/settings"
 )
 
-// The size that the system is designed for.
+// Design size of the system.
 const (
 	benchWorkers = 2700
 	benchTasks   = 79_000
@@ -21,8 +21,9 @@
 	benchJobs    = 600
 )
 
-// filled is a leader's state with so many workers, running tasks and jobs.
-func filled(tb testing.TB, workers, tasks int) (*leader, *State) {
+// newLoadedLeader returns a leader and a state with the given numbers of workers and running
+// tasks.
+func newLoadedLeader(tb testing.TB, workers, tasks int) (*leader, *State) {
 	tb.Helper()
 	s := NewState()
 	index := uint64(0)
@@ -47,7 +48,7 @@
 	}
 	l := &leader{r: &Replica{set: &settings.Settings{Control: &settings.Control{}}, machine: &Machine{state: s}}, runtimes: lease.NewRunTimes()}
 	l.reset(1)
-	learn(l.model)
+	observeAllPairs(l.model)
 	for done := 0; done < tasks; done += 1000 {
 		submit(tb, s, &index, min(1000, tasks-done))
 		for s.Tasks.Waiting() > 0 {
@@ -57,8 +58,9 @@
 	return l, s
 }
 
-// learn gives the model all pairs, so that its maps have their real size.
-func learn(m *interference.Model) {
+// observeAllPairs gives the model observations of all pairs, so that its maps have a realistic
+// size.
+func observeAllPairs(m *interference.Model) {
 	for service := range 40 {
 		for job := range benchJobs {
 			m.Observe(fmt.Sprint("m/s", service), 0.1, map[string]int{fmt.Sprint("m/j", job): 1}, 1.001)
@@ -80,7 +82,8 @@
 	}
 }
 
-// pass is a scheduling pass: snapshot, plan, and the plan's application.
+// pass runs a scheduling pass (snapshot, plan, application of the plan) and returns the number of
+// placements.
 func pass(l *leader, s *State, index *uint64) int {
 	plan := placement.Learned{}.Plan(l.build(s))
 	*index++
@@ -88,11 +91,11 @@
 	return v.(lease.PlanResult).Placed
 }
 
-// One start is a submission, its share of a pass with 150 waiting (a tenth of a
-// second's starts), the application, and the report of its end: everything that
-// the leader's processor does for a task but the wire and the disk.
+// Measures the leader's CPU work per task except for network and disk: a submission, its share of
+// a pass with 150 tasks waiting (a tenth of a second's starts), the application of the plan, and
+// the report of its end.
 func benchmarkStarts(b *testing.B, workers, tasks int) {
-	l, s := filled(b, workers, tasks)
+	l, s := newLoadedLeader(b, workers, tasks)
 	index := uint64(1 << 20)
 	const batch = 150
 	b.ReportAllocs()
@@ -102,12 +105,12 @@
 		if placed := pass(l, s, &index); placed != batch {
 			b.Fatalf("%d of %d placed", placed, batch)
 		}
-		endSome(s, &index, batch)
+		endTasks(s, &index, batch)
 	}
 }
 
-// endSome reports the ends of n tasks, spread over the agents.
-func endSome(s *State, index *uint64, n int) {
+// endTasks reports the ends of n tasks, spread over the agents.
+func endTasks(s *State, index *uint64, n int) {
 	for agent := range s.Members.Members {
 		for _, t := range s.Tasks.On(agent) {
 			*index++
@@ -128,11 +131,11 @@
 	}
 }
 
-// The snapshot of the whole state, which blocks the leader while it is encoded.
+// Measures encoding a snapshot of the whole state, which blocks the leader meanwhile.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, tasks := range []int{19_750, benchTasks} {
 		b.Run(fmt.Sprint("tasks=", tasks), func(b *testing.B) {
-			_, s := filled(b, benchWorkers, tasks)
+			_, s := newLoadedLeader(b, benchWorkers, tasks)
 			m := &Machine{state: s}
 			size := 0
 			for b.Loop() {
@@ -147,10 +150,10 @@
 	}
 }
 
-// One renewal's work on the state without the wire: is the member known, are
-// the orders the same.
+// Measures the work of one renewal on the state without the network: the member's look-up and the
+// comparison of its orders.
 func BenchmarkRenewAnswer(b *testing.B) {
-	l, s := filled(b, benchWorkers, benchTasks)
+	l, s := newLoadedLeader(b, benchWorkers, benchTasks)
 	r := l.r
 	r.leader = l
 	r.set.Control.Lease = settings.Duration{Duration: settings.DefaultLease}
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -10,11 +10,11 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// A replica is brought up by a snapshot, not by the log. Everything that decides
-// later answers must be in it: without the submissions' record an operator who
-// sends one again after a restart would have its tasks run twice.
+// Guards against state that is missing in a snapshot, from which replicas are restored. Without
+// the record of submissions, for example, a submission that is resent after a restart would run
+// its tasks twice.
 func TestSnapshotHoldsTheWholeState(t *testing.T) {
-	_, s := filled(t, 5, 20)
+	_, s := newLoadedLeader(t, 5, 20)
 	index := s.Index
 	for _, c := range []Command{
 		{Submit: &lease.Submit{ID: "kept", Market: "m", Job: "j1", Count: 2, IssuedMS: 1_000_000}},
@@ -50,7 +50,7 @@
 	}
 	for agent := range s.Members.Members {
 		if s.Tasks.Reserved(agent) != got.Tasks.Reserved(agent) {
-			t.Errorf("the room reserved on %s differs", agent)
+			t.Errorf("the capacity reserved on %s differs", agent)
 		}
 	}
 	_, err = got.Apply(index+1, Command{Now: 1_000_000, Submit: &lease.Submit{ID: "kept", Market: "m", Job: "j1", Count: 9, IssuedMS: 1_000_000}})
@@ -59,11 +59,11 @@
 	}
 }
 
-// A job that asks for more than any worker has is set aside with its reason, and
-// those behind it, of its own team too, are placed. A team at its quota waits
-// without holding up the others.
-func TestHopelessAndOverQuotaTasksBlockNobody(t *testing.T) {
-	l, s := filled(t, 3, 0)
+// A job that needs more than any worker has must be set aside with a reason, and the tasks queued
+// behind it, even of its own team, placed. A team at its quota must wait without delaying other
+// teams.
+func TestUnplaceableAndOverQuotaTasksDoNotBlockOthers(t *testing.T) {
+	l, s := newLoadedLeader(t, 3, 0)
 	index := s.Index
 	do := func(c Command) {
 		t.Helper()
--- a/control/waves_test.go
+++ b/control/waves_test.go
@@ -14,16 +14,16 @@
 	"github.com/waxwinghaven/waxwinghaven/upkeep"
 )
 
-// platformMachines is one platform as all replicas reach it. It refuses orders of a
-// holder once another has used a higher token, as the real one does.
+// platformMachines simulates the platform shared by all replicas. Like the real one it refuses
+// lower tokens than the highest one used.
 type platformMachines struct {
-	mu     sync.Mutex
-	list   []upkeep.Machine
-	token  uint64
-	holder string
-	taken  map[string]int
-	lose   int // answers to lose
-	shared int // orders of two holders under one token
+	mu          sync.Mutex
+	list        []upkeep.Machine
+	token       uint64
+	holder      string
+	downs       map[string]int
+	dropAnswers int // number of answers to drop
+	shared      int // orders of two holders under the same token
 }
 
 func (p *platformMachines) ListedAs(worker string) string {
@@ -47,30 +47,30 @@
 		p.shared++
 	}
 	p.token, p.holder = o.Token, o.Holder
-	if p.taken[o.Machine] == 0 {
-		p.taken[o.Machine]++
+	if p.downs[o.Machine] == 0 {
+		p.downs[o.Machine]++
 		for i := range p.list {
 			if p.list[i].Name == o.Machine {
-				p.list[i].Worker += "-next" // down for no time at all
+				p.list[i].Worker += "-next" // goes down and comes back immediately
 			}
 		}
 	}
-	if p.lose > 0 {
-		p.lose--
+	if p.dropAnswers > 0 {
+		p.dropAnswers--
 		return 0, errors.New("no answer")
 	}
 	return MachineDone, nil
 }
 
-// count returns how many machines went down.
+// count returns the number of machines that went down.
 func (p *platformMachines) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.taken)
+	return len(p.downs)
 }
 
-// newest returns the highest token that was used.
-func (p *platformMachines) newest() uint64 {
+// highestToken returns the highest token that was used.
+func (p *platformMachines) highestToken() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.token
@@ -88,11 +88,11 @@
 	return MachineUnknown, nil
 }
 
-// An operator moves a machine to another pool, by whichever replica, while a caller's
-// standing task runs on it that may not be away. The move is refused until the task is
-// gone, and one of an unknown machine always.
-func TestAMoveTakesNoStandingTaskAway(t *testing.T) {
-	p := &platformMachines{taken: make(map[string]int), list: []upkeep.Machine{{Name: "m0", Pool: "vault", Up: true, Worker: "w"}}}
+// Guards against a machine move, requested at any replica, that ends a caller's standing tasks
+// beyond the allowed number. The move must be refused until the tasks are gone, and always for an
+// unknown machine.
+func TestMoveIsRefusedWhileItsStandingTasksRun(t *testing.T) {
+	p := &platformMachines{downs: make(map[string]int), list: []upkeep.Machine{{Name: "m0", Pool: "vault", Up: true, Worker: "w"}}}
 	c := newClusterWith(t, "20ms", func(r *Replica) { r.SetMachines(p, 10*time.Millisecond) })
 	c.prepareJobs(4)
 	job := standingJob("00000000000000aa", 2)
@@ -113,7 +113,7 @@
 	if _, err := c.replicas[l].onCancelJob(JobCall{job.Host, job.Path}); err != nil {
 		t.Fatal(err)
 	}
-	c.wait("the move is taken", func() bool { _, err := c.replicas[(l+1)%3].MoveMachine(move); return err == nil })
+	c.wait("the move is accepted", func() bool { _, err := c.replicas[(l+1)%3].MoveMachine(move); return err == nil })
 	if list, _ := p.List(context.Background()); list[0].Pool != "other" {
 		t.Errorf("the machines are %+v", list)
 	}
@@ -122,12 +122,12 @@
 	}
 }
 
-// An operator's wave is at work when its leader is cut off, the answers to two orders
-// are lost, and another replica leads. The wave goes on from what was committed: every
-// machine goes down once, each order under the token of one leader, and the operator is
-// told "completed" only then, by whichever replica.
+// Guards against a wave that stalls or repeats work when its leader is partitioned, the answers
+// to two orders are lost and another replica leads. Every machine must go down exactly once, no
+// token may be used by two leaders, and the wave must be reported as completed only then, at any
+// replica.
 func TestAWaveOutlivesItsLeader(t *testing.T) {
-	p := &platformMachines{taken: make(map[string]int), lose: 2}
+	p := &platformMachines{downs: make(map[string]int), dropAnswers: 2}
 	c := newClusterWith(t, "20ms", func(r *Replica) { r.SetMachines(p, 10*time.Millisecond) })
 	wave := upkeep.Wave{Number: 5, DurationMS: 60_000, MaxConcurrent: 2}
 	p.mu.Lock()
@@ -143,13 +143,13 @@
 	}
 	c.wait("the first machine goes down", func() bool { return p.count() > 0 })
 	if v, err := c.replicas[(first+2)%3].GetWave(WaveQuery{5}); err != nil || v.Completed {
-		t.Fatalf("the wave after three turns: %+v %v", v, err)
+		t.Fatalf("the wave after its first machine: %+v %v", v, err)
 	}
 	c.isolate(first, true)
 	c.wait("a new leader", func() bool { return c.leader() >= 0 })
 	c.replicas[first].waves.sendOrder(context.Background(), upkeep.Order{Wave: 5, Machine: "m5"}, 1_000_000)
-	if p.newest() == 1_000_000 {
-		t.Fatal("a cut off leader gave an order")
+	if p.highestToken() == 1_000_000 {
+		t.Fatal("a partitioned leader gave an order")
 	}
 	c.wait("the wave is completed", func() bool {
 		l := c.leader()
@@ -163,8 +163,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range wave.Machines {
-		if p.taken[m] != 1 {
-			t.Errorf("%s went down %d times", m, p.taken[m])
+		if p.downs[m] != 1 {
+			t.Errorf("%s went down %d times", m, p.downs[m])
 		}
 	}
 	if p.shared != 0 {
@@ -172,10 +172,10 @@
 	}
 }
 
-// Guards against a machine taken for back, and the next for free to go down, while the list
-// still names its worker by an id that the next incarnation will bear too.
+// Guards against a machine that counts as back, so that the next one may go down, while the list
+// still names its worker by an id that the next incarnation will also have.
 func TestListedWorkersAreNamedAsTheyAreRegistered(t *testing.T) {
-	p := &platformMachines{taken: make(map[string]int), list: []upkeep.Machine{{Name: "m0", Up: true, Worker: "w"}, {Name: "m1", Up: true, Worker: "x"}}}
+	p := &platformMachines{downs: make(map[string]int), list: []upkeep.Machine{{Name: "m0", Up: true, Worker: "w"}, {Name: "m1", Up: true, Worker: "x"}}}
 	c := newClusterWith(t, "20ms", func(r *Replica) { r.SetMachines(p, 10*time.Millisecond) })
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
@@ -207,7 +207,7 @@
 	if _, err := l.onWorkerGone(WorkerRef{Worker: "w#7", Life: "2"}); err != nil {
 		t.Fatal(err)
 	}
-	want("w#7") // its machine is down: nobody is registered there
+	want("w#7") // the machine is down, no worker is registered there
 	register(jobs.Worker{ID: "w#3", Life: "3"})
 	want("w#3")
 }
--- a/control/workers.go
+++ b/control/workers.go
@@ -116,8 +116,8 @@
 	expected := 0.0
 	d.r.machine.Read(func(s *State) {
 		if e.WorkMS > 0 && e.Outcome == jobs.OutcomeDone {
-			expected = d.durations.measured(e.Task.Group())
-			d.durations.record(s.Jobs, e)
+			expected = d.durationModel.measured(e.Task.Group())
+			d.durationModel.record(s.Jobs, e)
 		}
 	})
 	d.mu.Lock()
