--- a/control/waves.go
+++ b/control/waves.go
@@ -248,7 +248,7 @@
 	case MachineDone:
 		m.Phase = upkeep.Down
 	case MachineUnknown, MachineNotAsked:
-		m.Phase = upkeep.Back // nothing has to be undone
+		m.Phase = upkeep.Back // no upkeep is due for it
 	case MachineFenced:
 		w.mu.Lock()
 		w.fenced = w.fenced || w.term == token
