--- a/agent/ledger.go
+++ b/agent/ledger.go
@@ -69,7 +69,7 @@
 		case ok && !t.Running:
 			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: t.Outcome, Checkpoint: t.Checkpoint, Reason: t.Reason})
 		case !ok && o.Stop == lease.StopNone && !o.Need.Fits(l.capacity):
-			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: lease.OutcomeRejected, Reason: "the task needs more than the worker's capacity"})
+			out = append(out, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: lease.OutcomeRejected, Reason: "the worker is too small"})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Task < out[j].Task })
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -128,7 +128,7 @@
 	case r == nil:
 		return s.grant(c, now)
 	case r.Body != c.Body:
-		return Result{}, refusal.New(refusal.KeyMismatch, "give every new request a new key", "this Idempotency-Key was used for another request")
+		return Result{}, refusal.New(refusal.KeyMismatch, "give every new request a key of its own", "this Idempotency-Key was used for another request")
 	case r.Phase == Running && r.Token == c.Token:
 		return Result{Granted: true}, nil
 	case r.Phase == Finished && r.Answer == nil:
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -108,7 +108,7 @@
 }
 
 // settle ends a claim in the background, so that the caller's answer does not wait for it. If
-// the call is lost, the key stays claimed and a repeated request gets the outcome unknown.
+// the call fails, the key stays claimed and a repeated request gets the outcome unknown.
 func (e *Entry) settle(s claim.Settle) {
 	e.pendingSettles.Add(1)
 	go func() {
--- a/market/state.go
+++ b/market/state.go
@@ -177,7 +177,7 @@
 }
 
 func notFound(what, name string) error {
-	return refusal.New(refusal.NotFound, "create it first, or check the spelling", "%s %q does not exist", what, name)
+	return refusal.New(refusal.NotFound, "make it first, or check the spelling", "%s %q does not exist", what, name)
 }
 
 func retire[T any](m map[string]*T, what, name string) error {
--- a/market/validate.go
+++ b/market/validate.go
@@ -28,7 +28,7 @@
 	if namePattern.MatchString(name) {
 		return nil
 	}
-	return invalid("use 1 to 63 lower-case letters, digits and inner hyphens", "%s name %q is not allowed", what, name)
+	return invalid("use 1 to 63 small letters, digits and inner hyphens", "%s name %q is not allowed", what, name)
 }
 
 // Validate checks a change without regard to the state.
@@ -85,7 +85,7 @@
 		return invalid("give a host, a path_prefix or both", "service %q has neither host nor path_prefix", s.Name)
 	}
 	if s.PathPrefix != "" && !strings.HasPrefix(s.PathPrefix, "/") {
-		return invalid("start it with a slash", "path_prefix %q does not start with a slash", s.PathPrefix)
+		return invalid("start it with a slash", "path_prefix %q is not a path", s.PathPrefix)
 	}
 	if len(s.Host) > maxHost || strings.ContainsAny(s.Host, " /\t") {
 		return invalid("give a host name without a scheme", "host %q is not a host name", s.Host)
@@ -149,7 +149,7 @@
 	}
 	// A quota spans many workers, so it has no upper limit.
 	if t.MilliCPU < 0 || t.MemoryMB < 0 {
-		return invalid("give 0 for no limit, or more", "the quota of %q is negative", t.Name)
+		return invalid("give 0 for no bound, or more", "the quota of %q is negative", t.Name)
 	}
 	return nil
 }
