--- a/runner/crash.go
+++ b/runner/crash.go
@@ -83,7 +83,7 @@
 	}
 	logrus.WithFields(logrus.Fields{"worker": state.worker, "leaving": state.leaving, "closed": !outage.closed.IsZero(), "lease_in_force": leaseInForce, "crash": certain,
 		"silent_ms": outage.replaced.Sub(outage.since).Milliseconds(), "runs": len(state.runs)}).
-		Warn("runner: A worker was replaced by another incarnation; its runs have ended.")
+		Warn("runner: A worker was replaced by another incarnation; what ran on it has ended.")
 	if !certain || len(crash.Runs) == 0 {
 		return nil
 	}
