--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock measures spans in which the machine may have been suspended. The steady
-// clock that the standard library measures by stands still meanwhile, so by it a word
-// that is ten seconds old may pass for fresh.
+// Package clock measures durations in which the machine may have been suspended. The monotonic
+// clock of the standard library stops during suspension, so by it a message that is ten seconds
+// old may count as fresh.
 package clock
 
 import (
@@ -10,43 +10,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a moment of this process. It can't be compared with another machine's.
+// Instant is a point in time of this process. It cannot be compared with one of another machine.
 type Instant struct {
-	steady    time.Time
+	monotonic time.Time
 	suspended time.Duration
 }
 
-// Now returns the present moment.
+// Now returns the current instant.
 func Now() Instant { return Instant{time.Now(), (*suspended.Load())()} }
 
-// IsZero reports whether the instant is none.
-func (i Instant) IsZero() bool { return i.steady.IsZero() }
+// IsZero reports whether i is the zero Instant.
+func (i Instant) IsZero() bool { return i.monotonic.IsZero() }
 
 // Sub returns the time from an earlier instant to this one, suspensions included.
 func (i Instant) Sub(earlier Instant) time.Duration {
-	return i.steady.Sub(earlier.steady) + i.suspended - earlier.suspended
+	return i.monotonic.Sub(earlier.monotonic) + i.suspended - earlier.suspended
 }
 
-// Since returns the time that has passed since an instant, suspensions included.
+// Since returns the time elapsed since an instant, suspensions included.
 func Since(i Instant) time.Duration { return Now().Sub(i) }
 
-// suspended tells for how long the machine was suspended since its start.
+// suspended returns how long the machine has been suspended in total since its boot.
 var suspended atomic.Pointer[func() time.Duration]
 
-func init() { Suspend(fromKernel) }
+func init() { Suspend(kernelSuspended) }
 
-// Suspend replaces the source of how long the machine was suspended since its start, for
-// tests of suspensions. It returns what puts the old one back.
+// Suspend replaces the source of the total suspended time since boot, for tests. restore puts
+// the previous source back.
 func Suspend(total func() time.Duration) (restore func()) {
 	old := suspended.Swap(&total)
 	return func() { suspended.Store(old) }
 }
 
-// fromKernel compares the clock that counts suspensions with the one that doesn't.
-func fromKernel() time.Duration {
-	var all, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &all) != nil {
-		return 0 // a kernel without these clocks has no suspensions to tell of either
+// kernelSuspended returns the difference between the kernel's clock that includes suspensions
+// and the one that does not.
+func kernelSuspended() time.Duration {
+	var boottime, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime) != nil {
+		return 0 // a kernel without these clocks does not report suspensions
 	}
-	return time.Duration(all.Nano() - steady.Nano())
+	return time.Duration(boottime.Nano() - monotonic.Nano())
 }
--- a/membership/health.go
+++ b/membership/health.go
@@ -2,29 +2,29 @@
 
 import "sort"
 
-// Tuning of the quarantine.
+// Parameters of the quarantine.
 const (
-	healthDecay    = 0.9 // of the counts at each report that brings news
-	minSamples     = 8   // decayed count below which nothing is concluded
-	failedPart     = 0.5 // a member fails when more than this part does
-	peerFactor     = 4   // and when it is this many times its peers' median
-	maxQuarantined = 0.2 // part of a service's members, so the rest is not swamped
-	probeAfter     = 100 // reports in quarantine until a member is tried again
+	healthDecay         = 0.9 // of the counts, at each report with new results
+	minSamples          = 8   // decayed count below which a rate is not judged
+	minFailureRate      = 0.5 // a member is quarantined if at least this share of its work fails
+	peerFactor          = 4   // and if its failure rate is at least this many times its peers' median
+	maxQuarantinedShare = 0.2 // of a service's members, so that the others are not overloaded
+	probeAfter          = 100 // reports in quarantine until a member is tried again
 )
 
-// Health is the decayed count of what a member did and failed at, requests and
-// task attempts together.
+// Health holds the decayed counts of a member's completed and failed work, requests and task
+// attempts together.
 type Health struct {
-	done, failed         float64
-	lastDone, lastFailed uint64
-	reports, bannedAt    int
+	done, failed           float64
+	lastDone, lastFailed   uint64
+	reports, quarantinedAt int
 }
 
-// Note takes in a member's running totals since its agent's start.
+// Note records a member's running totals since its agent's start.
 func (h *Health) Note(done, failed uint64) {
 	h.reports++
 	if done < h.lastDone || failed < h.lastFailed {
-		h.lastDone, h.lastFailed = 0, 0 // the agent was started anew
+		h.lastDone, h.lastFailed = 0, 0 // the agent has restarted
 	}
 	if done == h.lastDone && failed == h.lastFailed {
 		return
@@ -34,7 +34,7 @@
 	h.lastDone, h.lastFailed = done, failed
 }
 
-// rate returns the failed part, and whether there is enough to tell.
+// rate returns the share of failed work, and whether there are enough samples to judge it.
 func (h *Health) rate() (float64, bool) {
 	total := h.done + h.failed
 	if total < minSamples {
@@ -43,17 +43,17 @@
 	return h.failed / total, true
 }
 
-// Quarantine compares the members of each service with their peers and returns
-// the moves into and out of quarantine. A worker that fails everything at once
-// is always free, so without this it would attract all the work.
+// Quarantine compares the members of each service with their peers and returns the moves into
+// and out of quarantine. A worker that fails all its work immediately always has free capacity,
+// so without quarantine it would attract all the work.
 func (s *State) Quarantine(health func(agent string) *Health) []Move {
 	var moves []Move
-	for _, group := range s.peers() {
+	for _, group := range s.peerGroups() {
 		median := medianRate(group, health)
-		banned := 0
+		quarantined := 0
 		for _, m := range group {
 			if m.Phase == Quarantined {
-				banned++
+				quarantined++
 			}
 		}
 		for _, m := range group {
@@ -61,11 +61,11 @@
 			if h == nil {
 				continue
 			}
-			if mv, ok := h.judge(m, median, banned < quarantineLimit(len(group))); ok {
-				if mv.Phase == Quarantined {
-					banned++
+			if move, ok := h.decide(m, median, quarantined < quarantineLimit(len(group))); ok {
+				if move.Phase == Quarantined {
+					quarantined++
 				}
-				moves = append(moves, mv)
+				moves = append(moves, move)
 			}
 		}
 	}
@@ -76,11 +76,11 @@
 	if n < 2 {
 		return 0
 	}
-	return max(1, int(float64(n)*maxQuarantined))
+	return max(1, int(float64(n)*maxQuarantinedShare))
 }
 
-// peers groups the members that may work, or may again, by service.
-func (s *State) peers() map[string][]*Member {
+// peerGroups groups by service the members that are up or quarantined.
+func (s *State) peerGroups() map[string][]*Member {
 	groups := make(map[string][]*Member)
 	for _, m := range s.Since(0) {
 		if m.Phase == Up || m.Phase == Quarantined {
@@ -107,19 +107,21 @@
 	return rates[(len(rates)-1)/2]
 }
 
-func (h *Health) judge(m *Member, median float64, mayBan bool) (Move, bool) {
+// decide returns the member's move into or out of quarantine, false for none. median is the
+// median failure rate of its peers.
+func (h *Health) decide(m *Member, median float64, mayQuarantine bool) (Move, bool) {
 	if m.Phase == Quarantined {
-		if h.reports-h.bannedAt < probeAfter {
+		if h.reports-h.quarantinedAt < probeAfter {
 			return Move{}, false
 		}
-		// Tried again with a clean slate: a few failures bring it back here.
+		// The member is tried again with empty counts: a few failures quarantine it again.
 		h.done, h.failed = 0, 0
 		return Move{Agent: m.Agent, Boot: m.Boot, Phase: Up}, true
 	}
 	rate, ok := h.rate()
-	if !ok || !mayBan || rate < failedPart || rate < median*peerFactor {
+	if !ok || !mayQuarantine || rate < minFailureRate || rate < median*peerFactor {
 		return Move{}, false
 	}
-	h.bannedAt = h.reports
+	h.quarantinedAt = h.reports
 	return Move{Agent: m.Agent, Boot: m.Boot, Phase: Quarantined, Reason: "it fails far more than its peers"}, true
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership holds who is a member: the agents, the workers and
-// upstreams beside them, and whether each may receive work. State is a pure
-// state machine under the quorum's log; heartbeats never reach the log.
+// Package membership tracks the members of the system: the agents, the workers and upstreams
+// beside them, and whether each may receive work. State is a deterministic state machine under
+// the quorum's log; heartbeats are not written to the log.
 package membership
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Phase is where a member stands.
+// Phase is the state of a member.
 type Phase string
 
 // The phases of members.
@@ -29,8 +29,7 @@
 	Address    string `msgpack:"d" json:"address"` // of the agent, for entries
 	DataCentre string `msgpack:"c" json:"data_centre"`
 	Rack       string `msgpack:"r" json:"rack"`
-	// Boot changes with every start of the worker: whatever ran under
-	// another boot is gone.
+	// Boot changes with every start of the worker: what ran under another boot has ended.
 	Boot     string          `msgpack:"b" json:"boot"`
 	Capacity resource.Vector `msgpack:"v" json:"capacity"`
 	Market   string          `msgpack:"m" json:"market"`
@@ -38,34 +37,34 @@
 	Slots    int             `msgpack:"l" json:"slots"`
 	// Conns bounds the connections to the upstream.
 	Conns int `msgpack:"n" json:"connections"`
-	// Withdrawn tells that no more work is to be given.
+	// Withdrawn is set if the member is to get no more work.
 	Withdrawn bool `msgpack:"w,omitempty" json:"withdrawn,omitempty"`
-	// Evacuate tells that the instance itself is leaving, so its tasks are to
-	// be saved and moved. An agent that is only being restarted leaves it
-	// unset: its tasks go on under their lease.
+	// Evacuate is set if the instance itself is leaving, so that its tasks have to be saved and
+	// moved. An agent that is only being restarted leaves it unset: its tasks continue under
+	// their lease.
 	Evacuate bool `msgpack:"u,omitempty" json:"evacuate,omitempty"`
 
-	// Cordoned tells that the data centre is out of service: no request and no task goes
-	// there any more. The log decides it, not the announcement.
+	// Cordoned is set if the data centre is out of service: it gets no requests and no tasks.
+	// The log decides it, not the announcement.
 	Cordoned bool `msgpack:"x,omitempty" json:"cordoned,omitempty"`
 
 	Phase    Phase  `msgpack:"p" json:"phase"`
 	Reason   string `msgpack:"e,omitempty" json:"reason,omitempty"`
 	Revision uint64 `msgpack:"i" json:"revision"` // log index of the last change
-	// DownSince is on the log's clock, in milliseconds; 0 when not down.
+	// DownSince is in milliseconds of the log's clock; 0 if the member is not down.
 	DownSince int64 `msgpack:"t,omitempty" json:"down_since_ms,omitempty"`
 }
 
-// announced is the part of a member that its own announcement decides.
+// announced returns the member with only those fields that its own announcement determines.
 func (m Member) announced() Member {
 	m.Phase, m.Reason, m.Revision, m.DownSince, m.Cordoned = "", "", 0, 0, false
 	return m
 }
 
-// Same reports whether an announcement brings nothing new.
+// Same reports whether m and o agree in all fields that announcements determine.
 func (m Member) Same(o Member) bool { return m.announced() == o.announced() }
 
-// Validate checks an announcement.
+// Validate checks an announcement. The error is a refusal of code Invalid.
 func (m Member) Validate() error {
 	invalid := func(format string, args ...any) error {
 		return refusal.New(refusal.Invalid, "correct the agent's settings or the upstream's announcement", format, args...)
@@ -77,7 +76,7 @@
 		return invalid("agent address %q is not an IP number and port", m.Address)
 	}
 	if m.Slots < 0 || m.Conns < 0 || m.Capacity.MilliCPU < 0 || m.Capacity.MemoryMB < 0 || m.Capacity.Accelerators < 0 {
-		return invalid("the announcement offers less than nothing")
+		return invalid("the announcement has a negative capacity, slot count or connection count")
 	}
 	return nil
 }
@@ -85,20 +84,20 @@
 // Move changes the phase of a member.
 type Move struct {
 	Agent  string `msgpack:"a"`
-	Boot   string `msgpack:"b"` // the move is stale under another boot
+	Boot   string `msgpack:"b"` // the move is void if the member has another boot
 	Phase  Phase  `msgpack:"p"`
 	Reason string `msgpack:"r"`
 }
 
-// State is all members by agent.
+// State holds all members by agent.
 type State struct {
 	Members map[string]*Member `msgpack:"m"`
 }
 
-// NewState returns the empty state.
+// NewState returns an empty state.
 func NewState() *State { return &State{Members: make(map[string]*Member)} }
 
-// ApplyAnnounce takes an announcement and returns the boot that it replaces,
+// ApplyAnnounce applies an announcement at a log index. It returns the boot that it replaces,
 // whose tasks are lost, or "".
 func (s *State) ApplyAnnounce(m Member, index uint64) (lostBoot string) {
 	old := s.Members[m.Agent]
@@ -107,8 +106,8 @@
 		m.Phase, m.Reason = Leaving, "the upstream withdrew"
 	}
 	if old != nil && old.Phase == Quarantined && old.Boot == m.Boot {
-		// A repeated announcement must not end a quarantine: a worker that
-		// fails everything would be back within a second.
+		// A repeated announcement must not end a quarantine: a worker that fails all its work
+		// would be back within a second.
 		m.Phase, m.Reason = old.Phase, old.Reason
 	}
 	s.Members[m.Agent] = &m
@@ -118,12 +117,12 @@
 	return ""
 }
 
-// forgetAfter is how long a member that is down stays known, in milliseconds of
-// the log's clock. Instances are replaced under new names, 170 a day at the size
-// designed for; without this the list would grow for ever.
+// forgetAfter is how long a member that is down is kept, in milliseconds of the log's clock.
+// Instances are replaced under new names, 170 a day at the size designed for, so without this
+// limit the list would grow without bound.
 const forgetAfter = 24 * 3600 * 1000
 
-// forget drops the members that have been down for long.
+// forget removes the members that have been down for longer than forgetAfter.
 func (s *State) forget(now int64) {
 	for agent, m := range s.Members {
 		if m.Phase == Down && m.DownSince > 0 && now-m.DownSince > forgetAfter {
@@ -132,8 +131,8 @@
 	}
 }
 
-// ApplyMove changes a member's phase and reports whether it did. now is the
-// log's clock in milliseconds.
+// ApplyMove changes a member's phase and reports whether it did. A move for another boot or to
+// the present phase has no effect. now is the log's clock in milliseconds.
 func (s *State) ApplyMove(mv Move, index uint64, now int64) bool {
 	s.forget(now)
 	m := s.Members[mv.Agent]
@@ -149,7 +148,7 @@
 	return true
 }
 
-// ApplyCordon takes a data centre's members out of service, or brings them back.
+// ApplyCordon takes the members of a data centre out of service, or returns them to it.
 func (s *State) ApplyCordon(dataCentre string, cordoned bool, index uint64) {
 	for agent, m := range s.Members {
 		if m.DataCentre != dataCentre || m.Cordoned == cordoned {
@@ -161,16 +160,17 @@
 	}
 }
 
-// Room returns what a member can hold besides its service.
-func (s *State) Room(agent string, kept resource.Vector) lease.Room {
+// Room returns what a member can offer to tasks: its boot, its capacity less what is reserved,
+// and whether it accepts tasks. An unknown member gives the zero Room.
+func (s *State) Room(agent string, reserved resource.Vector) lease.Room {
 	m := s.Members[agent]
 	if m == nil {
 		return lease.Room{}
 	}
-	return lease.Room{Boot: m.Boot, Total: m.Capacity.Sub(kept), Open: m.Phase == Up && !m.Cordoned}
+	return lease.Room{Boot: m.Boot, Total: m.Capacity.Sub(reserved), Open: m.Phase == Up && !m.Cordoned}
 }
 
-// Since returns the members changed after a log index, in order of agent.
+// Since returns the members that changed after a log index, ordered by agent.
 func (s *State) Since(index uint64) []*Member {
 	var out []*Member
 	for _, m := range s.Members {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -6,9 +6,9 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Instances are replaced under new names day after day. The ones that went down
-// are forgotten after a day, but not before: an operator looks for them. A stale
-// move, made for a boot that is gone, changes nobody.
+// Members that are down must be removed after a day, since instances are replaced under new
+// names every day, but not earlier, because operators look for them. A move for an earlier boot
+// must change no member.
 func TestDownMembersAreForgottenAfterADay(t *testing.T) {
 	s := NewState()
 	for _, name := range []string{"old", "new"} {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A data centre is taken out of service: its members get no task and entries hear of it, and
-// a heartbeat of theirs changes nothing about that.
+// The members of a cordoned data centre get no tasks and entries are notified of the change.
+// Their own announcements must not undo it.
 func TestMembersOfACordonedDataCentreGetNothing(t *testing.T) {
 	s := NewState()
 	s.ApplyAnnounce(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}, 1)
@@ -40,20 +40,20 @@
 	if s.Room("a", resource.Vector{}).Open || !s.Room("b", resource.Vector{}).Open {
 		t.Error("the wrong member is open")
 	}
-	if news := s.Since(2); len(news) != 1 || news[0].Agent != "a" || !news[0].Cordoned {
-		t.Errorf("entries hear of %+v", news)
+	if changed := s.Since(2); len(changed) != 1 || changed[0].Agent != "a" || !changed[0].Cordoned {
+		t.Errorf("entries are notified of %+v", changed)
 	}
 	if !s.Members["a"].Same(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}) {
-		t.Error("the agent's next heartbeat counts as news")
+		t.Error("the agent's next heartbeat counts as a change")
 	}
 	s.ApplyCordon("hall-a", false, 4)
 	if !s.Room("a", resource.Vector{}).Open || len(s.Since(3)) != 1 {
-		t.Error("it does not come back")
+		t.Error("the member does not return to service")
 	}
 }
 
-// A quarantined worker announces itself again and again, as all do. That must not
-// bring it back; a new boot does, since it may have been repaired.
+// A quarantined worker repeats its announcement like any other. That must not end the
+// quarantine; a new boot does, since the worker may have been repaired.
 func TestAnnouncementEndsNoQuarantine(t *testing.T) {
 	s := NewState()
 	s.ApplyAnnounce(Member{Agent: "a", Boot: "b1"}, 1)
@@ -67,8 +67,8 @@
 	}
 }
 
-// One member of ten fails everything and is quarantined; when all fail, as in a
-// bad release, nobody is: there is no better peer to turn to.
+// One member of ten that fails all its work is quarantined. If all fail, as with a faulty
+// release, none is, because no peer is better.
 func TestQuarantineComparesWithPeers(t *testing.T) {
 	for _, c := range []struct {
 		failing, want int
--- a/memnet/memnet.go
+++ b/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet joins processes of one test without sockets, so that they can live in
-// virtual time: hosts can be isolated, and links have a delay and a rate.
+// Package memnet connects the processes of one test in memory instead of by sockets, so that
+// they can run in virtual time. Hosts can be isolated, and links have a delay and a bandwidth.
 package memnet
 
 import (
@@ -12,28 +12,28 @@
 
 // Network is a network in memory. It implements transport.Network.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	cut       map[string]bool // isolated IP numbers
-	uplinks   map[string]*uplink
-	link      Link
-	carried   map[string]int64 // bytes by the IP number that sent them
-	messages  map[string]int64 // writes by the IP number that made them
+	mu           sync.Mutex
+	listeners    map[string]*listener
+	isolated     map[string]bool // by IP number
+	uplinks      map[string]*uplink
+	link         Link
+	bytesSent    map[string]int64 // by the sender's IP number
+	messagesSent map[string]int64 // writes, by the sender's IP number
 }
 
-// Link is what every host's link has. The zero value is without delay or bound.
+// Link describes the link of every host. The zero value has no delay and unlimited bandwidth.
 type Link struct {
 	Delay       time.Duration // one way
-	BytesPerSec int           // of what a host sends, over all its connections
+	BytesPerSec int           // sending rate of a host over all its connections; 0 is unlimited
 }
 
-// uplink tells when a host's link has carried what was put on it so far.
-type uplink struct{ free time.Time }
+// uplink records until when a host's link is busy with what was written so far.
+type uplink struct{ busyUntil time.Time }
 
-// New returns a network of hosts that are all joined.
+// New returns a network whose hosts are all connected.
 func New(link Link) *Network {
-	return &Network{listeners: make(map[string]*listener), cut: make(map[string]bool), uplinks: make(map[string]*uplink),
-		link: link, carried: make(map[string]int64), messages: make(map[string]int64)}
+	return &Network{listeners: make(map[string]*listener), isolated: make(map[string]bool), uplinks: make(map[string]*uplink),
+		link: link, bytesSent: make(map[string]int64), messagesSent: make(map[string]int64)}
 }
 
 var errRefused = errors.New("connection refused")
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.isCut(from, host) {
+	if n.isBlocked(from, host) {
 		time.Sleep(timeout)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errors.New("i/o timeout")}
 	}
@@ -70,56 +70,56 @@
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errRefused}
 	}
-	near, far := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	local := &net.TCPAddr{IP: net.ParseIP(from), Port: 1}
 	select {
-	case l.conns <- n.join(far, host, from, l.addr, local):
+	case l.conns <- n.newConn(serverEnd, host, from, l.addr, local):
 	case <-l.closed:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errRefused}
 	}
-	return n.join(near, from, host, local, l.addr), nil
+	return n.newConn(clientEnd, from, host, local, l.addr), nil
 }
 
-// Isolate cuts a host off, or joins it again. A cut link stays open and silent, as when
-// a switch drops packets.
+// Isolate cuts a host off, or reconnects it. The connections of an isolated host stay open
+// without delivering anything, as when a switch drops packets.
 func (n *Network) Isolate(ip string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[ip] = on
+	n.isolated[ip] = on
 }
 
-// Carried returns how many bytes a host has sent.
+// Carried returns the number of bytes that a host has sent.
 func (n *Network) Carried(ip string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.carried[ip]
+	return n.bytesSent[ip]
 }
 
-// Messages returns how many messages a host has sent: requests and answers, which are each
-// written at once unless they are long.
+// Messages returns the number of messages, requests and responses, that a host has sent. It
+// counts writes: each message is a single write unless it is long.
 func (n *Network) Messages(ip string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.messages[ip]
+	return n.messagesSent[ip]
 }
 
-func (n *Network) isCut(a, b string) bool {
+func (n *Network) isBlocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a != b && (n.cut[a] || n.cut[b])
+	return a != b && (n.isolated[a] || n.isolated[b])
 }
 
 func (n *Network) count(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.messages[ip]++
+	n.messagesSent[ip]++
 }
 
-// reserve puts bytes on a host's link and returns when they have arrived.
+// reserve accounts for bytes on a host's link and returns when they arrive.
 func (n *Network) reserve(ip string, bytes int) (arrives time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.carried[ip] += int64(bytes)
+	n.bytesSent[ip] += int64(bytes)
 	now := time.Now()
 	if n.link.BytesPerSec == 0 {
 		return now.Add(n.link.Delay)
@@ -129,14 +129,13 @@
 		u = &uplink{}
 		n.uplinks[ip] = u
 	}
-	if u.free.Before(now) {
-		u.free = now
+	if u.busyUntil.Before(now) {
+		u.busyUntil = now
 	}
-	u.free = u.free.Add(time.Duration(bytes) * time.Second / time.Duration(n.link.BytesPerSec))
-	return u.free.Add(n.link.Delay)
+	u.busyUntil = u.busyUntil.Add(time.Duration(bytes) * time.Second / time.Duration(n.link.BytesPerSec))
+	return u.busyUntil.Add(n.link.Delay)
 }
 
-// listener is a process's listener.
 type listener struct {
 	net    *Network
 	addr   *net.TCPAddr
@@ -174,14 +173,14 @@
 
 func (l *listener) Addr() net.Addr { return l.addr }
 
-// Of a link with a delay or a rate.
+// Parameters of links with a delay or a bandwidth.
 const (
-	pieceBytes   = 16 << 10 // is put on the link at once, so that connections share it
-	windowPieces = 16       // under way on a connection before its writer waits
+	segmentBytes   = 16 << 10 // unit of sending, so that connections share the link
+	windowSegments = 16       // in flight on a connection before its writer waits
 )
 
-// conn is one end of a connection. It loses what is written while its link is cut, for
-// good, and what is under way when it is closed.
+// conn is one end of a connection. What is written while its link is cut is lost for good, and
+// so is what is in flight when it is closed.
 type conn struct {
 	net.Conn
 	net           *Network
@@ -189,37 +188,37 @@
 	local, remote *net.TCPAddr
 	once          sync.Once
 	closed        chan struct{}
-	// pieces are under way; nil on a link without delay and bound.
-	pieces chan piece
-	mu     sync.Mutex
-	until  time.Time // deadline of writes
+	// segments holds what is in flight; nil on a link without delay and bandwidth limit.
+	segments      chan segment
+	mu            sync.Mutex
+	writeDeadline time.Time
 }
 
-// piece is a part of a write, and when it arrives.
-type piece struct {
+// segment is a part of a write, with the time at which it arrives.
+type segment struct {
 	bytes []byte
 	at    time.Time
 }
 
-func (n *Network) join(pipe net.Conn, from, to string, local, remote *net.TCPAddr) *conn {
+func (n *Network) newConn(pipe net.Conn, from, to string, local, remote *net.TCPAddr) *conn {
 	c := &conn{Conn: pipe, net: n, from: from, to: to, local: local, remote: remote, closed: make(chan struct{})}
 	if n.link != (Link{}) {
-		c.pieces = make(chan piece, windowPieces)
-		go c.carry()
+		c.segments = make(chan segment, windowSegments)
+		go c.deliver()
 	}
 	return c
 }
 
-// carry hands over what was written, each piece when it arrives.
-func (c *conn) carry() {
+// deliver passes each segment to the other end at its time of arrival.
+func (c *conn) deliver() {
 	for {
 		select {
-		case p := <-c.pieces:
-			time.Sleep(time.Until(p.at))
-			if c.net.isCut(c.from, c.to) {
+		case seg := <-c.segments:
+			time.Sleep(time.Until(seg.at))
+			if c.net.isBlocked(c.from, c.to) {
 				continue
 			}
-			if _, err := c.Conn.Write(p.bytes); err != nil {
+			if _, err := c.Conn.Write(seg.bytes); err != nil {
 				return
 			}
 		case <-c.closed:
@@ -230,16 +229,16 @@
 
 func (c *conn) Write(b []byte) (int, error) {
 	c.net.count(c.from)
-	if c.net.isCut(c.from, c.to) {
+	if c.net.isBlocked(c.from, c.to) {
 		return len(b), nil
 	}
-	if c.pieces == nil {
+	if c.segments == nil {
 		c.net.reserve(c.from, len(b))
 		return c.Conn.Write(b)
 	}
 	for done := 0; done < len(b); {
-		end := min(done+pieceBytes, len(b))
-		if err := c.put(append([]byte(nil), b[done:end]...)); err != nil {
+		end := min(done+segmentBytes, len(b))
+		if err := c.enqueue(append([]byte(nil), b[done:end]...)); err != nil {
 			return done, err
 		}
 		done = end
@@ -247,44 +246,45 @@
 	return len(b), nil
 }
 
-// put waits until there is room on the connection.
-func (c *conn) put(b []byte) error {
+// enqueue puts a segment on the link; it waits for space in the connection's window until the
+// write deadline.
+func (c *conn) enqueue(b []byte) error {
 	c.mu.Lock()
-	until := c.until
+	deadline := c.writeDeadline
 	c.mu.Unlock()
-	var late <-chan time.Time
-	if !until.IsZero() {
-		timer := time.NewTimer(time.Until(until))
+	var expired <-chan time.Time
+	if !deadline.IsZero() {
+		timer := time.NewTimer(time.Until(deadline))
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
-	case c.pieces <- piece{b, c.net.reserve(c.from, len(b))}:
+	case c.segments <- segment{b, c.net.reserve(c.from, len(b))}:
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
-	case <-late:
+	case <-expired:
 		return os.ErrDeadlineExceeded
 	}
 }
 
 func (c *conn) SetDeadline(t time.Time) error {
-	c.setUntil(t)
+	c.storeWriteDeadline(t)
 	return c.Conn.SetDeadline(t)
 }
 
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.setUntil(t)
-	if c.pieces != nil {
-		return nil // the far end may be slower than the writer's deadline
+	c.storeWriteDeadline(t)
+	if c.segments != nil {
+		return nil // the other end may read later than the writer's deadline
 	}
 	return c.Conn.SetWriteDeadline(t)
 }
 
-func (c *conn) setUntil(t time.Time) {
+func (c *conn) storeWriteDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
+	c.writeDeadline = t
 }
 
 func (c *conn) Close() error {
