--- a/transport/client.go
+++ b/transport/client.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// dialTimeout is far above a round trip between regions, and short enough
-	// that an instance without power costs one try and not a caller's time.
+	// dialTimeout is far above a round trip between regions, and short enough that a dial to an
+	// instance without power costs one attempt and not the whole time of a caller.
 	dialTimeout  = 400 * time.Millisecond
 	idleTimeout  = 30 * time.Second
 	maxConns     = 256
 	maxBodyBytes = 64 << 20
 )
 
-// Client calls other processes. It dials from a fixed local address, so that a
-// process is known, and can be cut off, by its address.
+// Client calls other processes. It dials from a fixed local address, so that peers can identify
+// a process, and tests can cut it off, by its address.
 type Client struct {
 	tls   *tls.Config
 	local net.IP
@@ -30,7 +30,8 @@
 	hosts map[string]*fasthttp.HostClient
 }
 
-// NewClient returns a client that dials from the given IP number.
+// NewClient returns a client that dials from the given IP number. A nil tlsConfig gives plain
+// connections.
 func NewClient(tlsConfig *tls.Config, from string) *Client {
 	return &Client{tls: tlsConfig, local: net.ParseIP(from), hosts: make(map[string]*fasthttp.HostClient)}
 }
@@ -53,9 +54,9 @@
 	}
 }
 
-// NewHost returns a connection pool that sends each request once. The library
-// would by itself send some a second time after a broken connection; what may be
-// repeated is decided by whoever knows what was asked for.
+// NewHost returns a connection pool that sends each request once. By default fasthttp repeats
+// some requests after a broken connection; whether a request may be repeated is for the caller
+// to decide, which knows what it does.
 func NewHost(addr string, dial fasthttp.DialFunc, conns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr: addr, Dial: dial, MaxConns: conns, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
@@ -63,7 +64,7 @@
 	}
 }
 
-// Host returns the connection pool for one address.
+// Host returns the connection pool of one address.
 func (c *Client) Host(addr string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +78,8 @@
 	return h
 }
 
-// Address makes a request go to addr over this client's kind of link.
+// Address directs a request to addr, with the scheme that matches the client's TLS settings. A
+// Host header that is already set stays.
 func (c *Client) Address(q *fasthttp.Request, addr string) {
 	q.UseHostHeader = len(q.Header.Host()) > 0
 	q.URI().SetHost(addr)
@@ -87,9 +89,9 @@
 	}
 }
 
-// Call sends a message and reads its answer. The error is a *refusal.Error: the
-// other side's, SendFailed if nothing was sent, or Unreachable if it may have been
-// taken.
+// Call sends a message and decodes the response into resp, unless that is nil. Except for
+// messages that cannot be encoded or decoded, the error is a *refusal.Error: the peer's own,
+// SendFailed if nothing was sent, or Unreachable if the peer may have processed the message.
 func (c *Client) Call(addr, path string, timeout time.Duration, req, resp any) error {
 	body, err := Encode(req)
 	if err != nil {
@@ -103,12 +105,13 @@
 	c.Address(q, addr)
 	q.SetBodyRaw(body)
 	if err := c.Host(addr).DoTimeout(q, p, timeout); err != nil {
-		return unreachable(addr, err)
+		return callError(addr, err)
 	}
-	return readAnswer(p, resp)
+	return readResponse(p, resp)
 }
 
-func readAnswer(p *fasthttp.Response, resp any) error {
+// readResponse decodes a response of status 200 into resp, and any other as a *refusal.Error.
+func readResponse(p *fasthttp.Response, resp any) error {
 	if p.StatusCode() == fasthttp.StatusOK {
 		if resp == nil {
 			return nil
@@ -122,7 +125,8 @@
 	return &e
 }
 
-func unreachable(addr string, err error) error {
+// callError maps the error of a failed request to the refusal that Call returns.
+func callError(addr string, err error) error {
 	var cert *tls.CertificateVerificationError
 	if errors.As(err, &cert) {
 		return refusal.New(refusal.Forbidden, "make its key with this system's authority", "%s has no valid key: %v", addr, err)
--- a/transport/codec.go
+++ b/transport/codec.go
@@ -1,5 +1,5 @@
-// Package transport carries typed messages between the system's own processes:
-// MessagePack bodies over HTTP/1.1, with mutual TLS by keys from settings.
+// Package transport carries typed messages between the system's own processes: MessagePack
+// bodies over HTTP/1.1, with mutual TLS if the settings name keys.
 package transport
 
 import (
@@ -18,7 +18,7 @@
 	return b, Error.Wrap(err)
 }
 
-// Decode reads a message and refuses trailing bytes.
+// Decode reads a message and rejects trailing bytes.
 func Decode(b []byte, v any) error {
 	r := bytes.NewReader(b)
 	if err := msgpack.NewDecoder(r).Decode(v); err != nil {
--- a/transport/count.go
+++ b/transport/count.go
@@ -11,8 +11,8 @@
 	linkReceived = metrics.NewCounter(`waxwinghaven_link_bytes_total{direction="received"}`)
 )
 
-// meteredConn counts the bytes on a link between the system's own processes,
-// under TLS, as the network carries them.
+// meteredConn counts the bytes on a connection between the system's own processes. It lies below
+// TLS, so it counts the bytes that the network carries.
 type meteredConn struct{ net.Conn }
 
 func (c meteredConn) Read(b []byte) (int, error) {
@@ -27,7 +27,7 @@
 	return n, err
 }
 
-// meteredListener counts on all the connections that it accepts.
+// meteredListener counts the bytes on all connections that it accepts.
 type meteredListener struct{ net.Listener }
 
 func (l meteredListener) Accept() (net.Conn, error) {
--- a/transport/fault.go
+++ b/transport/fault.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Fault tells whether the link from one IP number to another is cut.
+// Fault reports whether the link from one IP number to another is cut.
 type Fault func(from, to string) bool
 
-// fault is set by tests only. A cut link stays open and silent, as when a
-// switch drops packets: nothing tells either side.
+// fault is set by tests only. A cut link stays open without delivering anything, as when a
+// switch drops packets: neither side gets an error.
 var fault atomic.Pointer[Fault]
 
-// SetFault installs a hook that cuts links silently, or removes it with nil.
-// It is for proofs within one process and costs a shipped process one load of a
-// pointer per dial.
+// SetFault installs a hook that cuts links without an error on either side, or removes it if f
+// is nil. It is for tests that run several processes' code in one process; in production it
+// costs one pointer load per dial.
 func SetFault(f Fault) {
 	if f == nil {
 		fault.Store(nil)
@@ -33,8 +33,8 @@
 	return &faultyConn{Conn: c, from: from, to: to}
 }
 
-// faultyConn loses what is written, and delivers nothing, while its link is cut.
-// A connection that lost bytes never delivers again.
+// faultyConn drops writes and delivers no reads while its link is cut. A connection that has
+// lost bytes never delivers again.
 type faultyConn struct {
 	net.Conn
 	from, to string
--- a/transport/json.go
+++ b/transport/json.go
@@ -14,34 +14,34 @@
 	"github.com/waxwinghaven/waxwinghaven/header"
 )
 
-// ErrNotSent is the error of a call that certainly never left: no connection could be
-// made, or none was free.
+// ErrNotSent is the error of a call that was certainly not sent: no connection could be made, or
+// none was free.
 var ErrNotSent = errors.New("the call was not sent")
 
-// ErrClosed is the error of a call whose connection the other side closed, reset or
-// refused. One that is merely not answered is not closed.
+// ErrClosed is the error of a call whose connection the peer closed, reset or refused. A
+// connection on which the response is merely missing is not closed.
 var ErrClosed = errors.New("the other side closed the connection")
 
-// ErrRefused is the error of a call to an address where nobody takes connections. It was not
-// sent, either.
-var ErrRefused = errors.New("nobody takes connections there")
+// ErrRefused is the error of a call to an address where no process accepts connections. Such a
+// call was not sent, either.
+var ErrRefused = errors.New("nothing accepts connections at the address")
 
 // ContentJSON is the content type of JSON bodies.
 const ContentJSON = "application/json"
 
-// jsonIdle closes the connections to an interface that speaks JSON before its server
-// does.
+// jsonIdle is how long connections to a JSON interface may be idle. The client has to close them
+// before the server does.
 const jsonIdle = 5 * time.Second
 
-// NewJSONHost returns a connection pool for an interface that speaks JSON. Paths are
-// sent as they are.
+// NewJSONHost returns a connection pool for a JSON interface. Paths are sent unchanged.
 func NewJSONHost(addr, from string, conns int) *fasthttp.HostClient {
 	h := NewHost(addr, NewClient(nil, from).Dialer(), conns)
 	h.MaxIdleConnDuration, h.DisablePathNormalizing = jsonIdle, true
 	return h
 }
 
-// WriteJSON answers with a JSON value, and reports whether it could be written as such.
+// WriteJSON responds with v as JSON, and reports whether v could be encoded. If not, the status
+// is 500.
 func WriteJSON(q *fasthttp.RequestCtx, status int, v any) bool {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// JSONCall is one call of an interface that speaks JSON.
+// JSONCall is one call of a JSON interface.
 type JSONCall struct {
 	Method  string // POST if empty
 	Path    string
@@ -63,7 +63,7 @@
 	Timeout time.Duration
 }
 
-// fill makes the request of a call to a host.
+// fill builds the call's request to a host.
 func (c *JSONCall) fill(q *fasthttp.Request, host string) error {
 	q.Header.SetMethod(fasthttp.MethodPost)
 	if c.Method != "" {
@@ -86,20 +86,21 @@
 	return nil
 }
 
-// CallJSON makes a call and returns the answer's status and body. Any error but
-// ErrNotSent means that the call may have been carried out. ErrClosed is told besides.
+// CallJSON makes a call and returns the status and body of the response. Any error but
+// ErrNotSent means that the peer may have carried the call out. An error also wraps ErrClosed if
+// the peer closed the connection.
 func CallJSON(h *fasthttp.HostClient, c JSONCall) (status int, answer []byte, err error) {
 	return c.exchange(h.Addr, func(q *fasthttp.Request, p *fasthttp.Response) error {
 		err := h.DoTimeout(q, p, c.Timeout)
-		if err != nil && (header.NeverSent(err) || errors.Is(err, errNotGreeted)) {
-			return fmt.Errorf("%w: %w", ErrNotSent, noteClosed(err))
+		if err != nil && (header.NeverSent(err) || errors.Is(err, errNotVerified)) {
+			return fmt.Errorf("%w: %w", ErrNotSent, markClosed(err))
 		}
-		return noteClosed(err)
+		return markClosed(err)
 	})
 }
 
-// exchange makes the call's request to a host, lets do carry it out, and returns the answer's
-// status and body.
+// exchange builds the call's request to a host, passes it to do, and returns the status and body
+// of the response.
 func (c *JSONCall) exchange(host string, do func(*fasthttp.Request, *fasthttp.Response) error) (status int, answer []byte, err error) {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
@@ -113,29 +114,31 @@
 	return p.StatusCode(), append([]byte(nil), p.Body()...), nil
 }
 
-// errNotGreeted is the error of a connection whose greeting failed. The error of the
-// greeting comes with it.
-var errNotGreeted = errors.New("the greeting on a new connection failed")
+// errNotVerified is the error of a connection that VerifyConns rejected; it is wrapped together
+// with the cause.
+var errNotVerified = errors.New("the check of a new connection failed")
 
-// Greet makes a pool carry calls only on connections whose greeting has succeeded. A process
-// that starts anew has none of the connections of the one before, so a greeting that asks who
-// is there holds for all calls that follow on its connection.
-func Greet(h *fasthttp.HostClient, greet func(net.Conn) error) {
+// VerifyConns makes a pool use only connections on which verify has succeeded. A process that
+// restarts keeps none of its predecessor's connections, so if verify checks which process is at
+// the other end, the result holds for all later calls on the connection.
+func VerifyConns(h *fasthttp.HostClient, verify func(net.Conn) error) {
 	dial := h.Dial
 	h.Dial = func(addr string) (net.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, err
 		}
-		if err := greet(conn); err != nil {
+		if err := verify(conn); err != nil {
 			conn.Close()
-			return nil, fmt.Errorf("%w: %w", errNotGreeted, err)
+			return nil, fmt.Errorf("%w: %w", errNotVerified, err)
 		}
 		return conn, nil
 	}
 }
 
-// CallJSONOn makes a call on a connection that carries no other meanwhile.
+// CallJSONOn makes a call on a connection that carries no other call at the same time. If the
+// peer closes the connection instead of responding, the error wraps
+// fasthttp.ErrConnectionClosed.
 func CallJSONOn(conn net.Conn, c JSONCall) (status int, answer []byte, err error) {
 	return c.exchange(conn.RemoteAddr().String(), func(q *fasthttp.Request, p *fasthttp.Response) error {
 		if err := conn.SetDeadline(time.Now().Add(c.Timeout)); err != nil {
@@ -158,8 +161,9 @@
 	})
 }
 
-// noteClosed marks the error of a connection that the other side ended, or refused.
-func noteClosed(err error) error {
+// markClosed wraps the error of a connection that the peer closed or refused in ErrClosed or
+// ErrRefused.
+func markClosed(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return fmt.Errorf("%w: %w: %w", ErrRefused, ErrClosed, err)
 	}
--- a/transport/keys.go
+++ b/transport/keys.go
@@ -31,19 +31,19 @@
 const (
 	caValidity  = 10 * 365 * 24 * time.Hour
 	keyValidity = 2 * 365 * 24 * time.Hour
-	// serverName is in every certificate: processes are dialled by IP
-	// number, so the authority and the role are checked, not the name.
+	// serverName is in every certificate. Processes are dialled by IP number, so the authority
+	// and the role are checked instead of the host name.
 	serverName = "waxwinghaven"
 )
 
-// Keys names the PEM files of one process.
+// Keys holds the paths of one process's PEM files.
 type Keys struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// MakeAuthority writes ca.pem and ca.key into dir. It does not replace them.
+// MakeAuthority writes ca.pem and ca.key into dir. It fails if dir already has a ca.key.
 func MakeAuthority(dir string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return Error.Wrap(err)
@@ -65,8 +65,8 @@
 	return writePair(dir, "ca", der, key)
 }
 
-// MakeKey writes name.pem and name.key, signed by the authority in dir. A process
-// that plays several parts needs a key for all of their roles.
+// MakeKey writes name.pem and name.key into dir, signed by the authority there. A process that
+// has several roles needs one key with all of them.
 func MakeKey(dir, name string, roles []Role) error {
 	authority, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if err != nil {
@@ -95,7 +95,7 @@
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    time.Now().Add(-time.Hour), // clocks of instances differ
+		NotBefore:    time.Now().Add(-time.Hour), // tolerates clock differences between instances
 		NotAfter:     time.Now().Add(validity),
 	}
 }
@@ -113,7 +113,7 @@
 	return Error.Wrap(os.WriteFile(filepath.Join(dir, name+".key"), secret, 0o600))
 }
 
-// KeysOf returns the key files that the settings name, or nil.
+// KeysOf returns the key files that the settings name, or nil if they name none.
 func KeysOf(set *settings.Settings) *Keys {
 	if set.TLS == nil {
 		return nil
@@ -121,8 +121,8 @@
 	return &Keys{Authority: set.TLS.Authority, Certificate: set.TLS.Certificate, Key: set.TLS.Key}
 }
 
-// LoadTLS returns a configuration for both ends of a link. Nil keys give nil:
-// the links are then plain.
+// LoadTLS returns a configuration for both ends of a connection. Nil keys give a nil
+// configuration: connections are then plain.
 func LoadTLS(k *Keys) (*tls.Config, error) {
 	if k == nil {
 		return nil, nil
@@ -149,7 +149,7 @@
 	}, nil
 }
 
-// HasRole reports whether the key that a request came with has one of the roles.
+// HasRole reports whether the client certificate of a request has one of the roles.
 func HasRole(ctx *fasthttp.RequestCtx, roles ...Role) bool {
 	state := ctx.TLSConnectionState()
 	if state == nil || len(state.PeerCertificates) == 0 {
--- a/transport/link_test.go
+++ b/transport/link_test.go
@@ -57,8 +57,8 @@
 	return ln.Addr().String()
 }
 
-// A process of the right role is answered. One whose key is from another
-// authority, has another role, or is missing is refused, whatever it asks.
+// A peer with a key of the right role is served. A peer whose key is from another authority, has
+// another role or is missing is refused, whatever it calls.
 func TestPeersWithoutAValidKeyAreRefused(t *testing.T) {
 	ours, theirs := authority(t), authority(t)
 	addr := serveEcho(t, testKeys(t, ours, "control", RoleControl))
@@ -82,7 +82,7 @@
 	}
 }
 
-// Whatever bytes a peer sends as a message, they are read or refused.
+// Decode must read or reject any bytes that a peer sends as a message.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode(&echo{"x"})
 	if err != nil {
@@ -106,7 +106,7 @@
 	linkCallers = 8 // per processor
 )
 
-// The link from entry to agent: HTTP/1.1 over TLS over TCP.
+// BenchmarkLinkTCP measures requests from entry to agent: HTTP/1.1 over TLS over TCP.
 func BenchmarkLinkTCP(b *testing.B) {
 	dir := authority(b)
 	ln, err := Listen("127.0.0.1:0")
@@ -133,7 +133,7 @@
 	})
 }
 
-// The same link over QUIC: one connection, a stream for each request.
+// BenchmarkLinkQUIC measures the same requests over QUIC: one connection, a stream per request.
 func BenchmarkLinkQUIC(b *testing.B) {
 	dir := authority(b)
 	serverTLS, clientTLS := testKeys(b, dir, "agent", RoleAgent), testKeys(b, dir, "entry", RoleEntry)
--- a/transport/network.go
+++ b/transport/network.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Network replaces the sockets. Proofs in virtual time need it, since a real socket
-// waits in real time.
+// Network replaces the sockets. Tests in virtual time need it, since a real socket waits in real
+// time.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(from, address string, timeout time.Duration) (net.Conn, error)
@@ -16,8 +16,8 @@
 // network is set by tests only.
 var network atomic.Pointer[Network]
 
-// SetNetwork installs a network in place of the sockets, or removes it with nil. It
-// costs a shipped process one load of a pointer per listener and dial.
+// SetNetwork installs a network in place of the sockets, or removes it if n is nil. In
+// production it costs one pointer load per listener and dial.
 func SetNetwork(n Network) {
 	if n == nil {
 		network.Store(nil)
--- a/transport/open.go
+++ b/transport/open.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// StillOpen reports whether the other side of a connection still waits for an answer: it has
-// neither closed nor reset it, as far as is known here. A request that was held up by a cut
-// arrives together with the end of its connection, which its sender gave up long ago. A
-// connection that can't be looked at counts as open.
+// StillOpen reports whether the peer of a connection still waits for a response: as far as this
+// host knows, it has neither closed nor reset the connection. A request that a network partition
+// delayed arrives together with the end of its connection, since its sender has given up long
+// before. A connection that gives no access to its socket counts as open.
 func StillOpen(c net.Conn) bool {
 	raw, ok := c.(syscall.Conn)
 	if !ok {
@@ -17,7 +17,7 @@
 	}
 	rc, err := raw.SyscallConn()
 	if err != nil {
-		return false // it is closed on this side
+		return false // closed on this side
 	}
 	open := true
 	err = rc.Read(func(fd uintptr) bool {
--- a/transport/open_test.go
+++ b/transport/open_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A request arrives on a connection whose other side waits, has more to say, has closed it,
-// or has reset it.
-func TestStillOpenTellsWhetherSomebodyWaits(t *testing.T) {
+// StillOpen tells a peer that waits or sends more data from one that has closed or reset the
+// connection.
+func TestStillOpenDetectsClosedConnections(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(*net.TCPConn)
@@ -35,7 +35,7 @@
 		}
 		x.do(from.(*net.TCPConn))
 		got := StillOpen(c)
-		for range 200 { // what the other side did takes a moment to arrive
+		for range 200 { // what the peer did takes a moment to arrive
 			if got == x.want {
 				break
 			}
@@ -43,7 +43,7 @@
 			got = StillOpen(c)
 		}
 		if got != x.want {
-			t.Errorf("the other side %s: %v", x.name, got)
+			t.Errorf("the peer %s: %v", x.name, got)
 		}
 		c.Close()
 		from.Close()
@@ -53,6 +53,6 @@
 	defer a.Close()
 	defer b.Close()
 	if !StillOpen(a) {
-		t.Error("a connection that can't be looked at counts as closed")
+		t.Error("a connection without access to its socket counts as closed")
 	}
 }
--- a/transport/refused_test.go
+++ b/transport/refused_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Guards against a worker that is taken for gone while it runs on: connections to it are reset, as
-// by a bad link, and only a refused one tells that nobody stands there.
-func TestOnlyARefusedConnectionTellsThatNobodyIsThere(t *testing.T) {
+// Guards against treating a running worker as gone: a connection that is reset, as by a faulty
+// network, must not count as refused. Only a refused connection shows that no process listens at
+// the address.
+func TestOnlyRefusedConnectionMeansNoListener(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +27,7 @@
 	}()
 	call := func() error {
 		h := NewJSONHost(ln.Addr().String(), "127.0.0.1", 1)
-		Greet(h, func(conn net.Conn) error {
+		VerifyConns(h, func(conn net.Conn) error {
 			_, _, err := CallJSONOn(conn, JSONCall{Path: "/", Timeout: time.Second})
 			return err
 		})
@@ -34,10 +35,10 @@
 		return err
 	}
 	if err := call(); err == nil || errors.Is(err, ErrRefused) {
-		t.Errorf("a connection that is reset: %v", err)
+		t.Errorf("a reset connection: %v", err)
 	}
 	ln.Close()
 	if err := call(); !errors.Is(err, ErrRefused) || !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrClosed) {
-		t.Errorf("a connection that is refused: %v", err)
+		t.Errorf("a refused connection: %v", err)
 	}
 }
--- a/transport/server.go
+++ b/transport/server.go
@@ -21,7 +21,7 @@
 	maxConcurrency    = 16 << 10
 )
 
-// Handler answers one decoded message.
+// Handler handles one message and returns the response. body is still encoded; see Decode.
 type Handler func(body []byte) (any, error)
 
 type route struct {
@@ -30,7 +30,7 @@
 	calls  *metrics.Counter
 }
 
-// Server answers typed messages.
+// Server serves typed messages over HTTP.
 type Server struct {
 	part   string
 	tls    *tls.Config
@@ -39,28 +39,30 @@
 	server *fasthttp.Server
 }
 
-// NewServer returns a server; part names it in logs and counters.
+// NewServer returns a server; part is its name in logs and metrics. A nil tlsConfig gives plain
+// connections, on which roles are not checked.
 func NewServer(part string, tlsConfig *tls.Config) *Server {
 	s := &Server{part: part, tls: tlsConfig, routes: make(map[string]route), raw: make(map[string]fasthttp.RequestHandler)}
 	s.server = NewHTTPServer(part, s.serve, maxBodyBytes)
 	return s
 }
 
-// NewHTTPServer returns a fasthttp server with this system's bounds. A peer that
-// sends garbage, too much or too slowly is answered or cut, and counted.
+// NewHTTPServer returns a fasthttp server with this system's limits. Malformed, oversized and
+// slow requests get an error response or have their connection closed, and are counted.
 func NewHTTPServer(part string, h fasthttp.RequestHandler, maxBody int) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler: h, CloseOnShutdown: true, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
 		ReadTimeout: headerReadTimeout, IdleTimeout: 2 * idleTimeout, ReadBufferSize: readBufferBytes,
 		MaxRequestBodySize: maxBody, Concurrency: maxConcurrency, DisablePreParseMultipartForm: true,
-		Logger: quiet{}, ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) { badRequest(part, ctx, err) },
+		Logger: discardLogger{}, ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) { badRequest(part, ctx, err) },
 	}
 }
 
-// quiet drops fasthttp's own lines; this system counts and logs by itself.
-type quiet struct{}
+// discardLogger drops fasthttp's own log lines, since this package counts and logs errors
+// itself.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func badRequest(part string, ctx *fasthttp.RequestCtx, err error) {
 	code, status := refusal.Invalid, fasthttp.StatusBadRequest
@@ -75,13 +77,13 @@
 	ctx.SetBodyString(string(code) + ": the request cannot be read; send well-formed HTTP/1.1 within the size limit\n")
 }
 
-// Handle answers messages at path from peers whose key has one of the roles.
+// Handle registers a handler for messages at path from peers whose key has one of the roles.
 func (s *Server) Handle(path string, h Handler, roles ...Role) {
 	calls := metrics.GetOrCreateCounter(fmt.Sprintf(`waxwinghaven_calls_served_total{part=%q,path=%q}`, s.part, path))
 	s.routes[path] = route{h, roles, calls}
 }
 
-// Raw serves a path without decoding.
+// Raw registers a handler that gets requests without decoding or role checks.
 func (s *Server) Raw(path string, h fasthttp.RequestHandler) { s.raw[path] = h }
 
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
@@ -105,7 +107,7 @@
 		s.refuse(ctx, err)
 		return
 	}
-	s.answer(ctx, fasthttp.StatusOK, resp)
+	s.respond(ctx, fasthttp.StatusOK, resp)
 }
 
 func (s *Server) allowed(ctx *fasthttp.RequestCtx, r route) bool {
@@ -118,10 +120,10 @@
 		e = refusal.New(refusal.Invalid, "see the log of the process that answered", "%v", err)
 	}
 	refusal.Count(s.part, e.Code)
-	s.answer(ctx, fasthttp.StatusConflict, e)
+	s.respond(ctx, fasthttp.StatusConflict, e)
 }
 
-func (s *Server) answer(ctx *fasthttp.RequestCtx, status int, v any) {
+func (s *Server) respond(ctx *fasthttp.RequestCtx, status int, v any) {
 	b, err := Encode(v)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
@@ -131,44 +133,45 @@
 	ctx.Response.SetBodyRaw(b)
 }
 
-// Serve answers on a listener until the context ends, then lets requests in
-// progress finish.
+// Serve accepts connections until ctx ends, then waits for requests in progress, at most
+// shutdownTimeout.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	return ServeHTTP(ctx, s.server, Secure(s.part, meteredListener{ln}, s.tls))
 }
 
-// ServeHTTP runs a server until the context ends, then shuts it down.
+// ServeHTTP runs a server until ctx ends, then shuts it down as Serve does.
 func ServeHTTP(ctx context.Context, server *fasthttp.Server, ln net.Listener) error {
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		defer close(ended)
+		defer close(done)
 		shutdown(server)
 	})
 	err := server.Serve(ln)
 	if !stop() {
-		<-ended // the requests in progress have finished
+		<-done // the requests in progress have finished
 		return nil
 	}
 	return Error.Wrap(err)
 }
 
-// shutdownBound ends a shutdown whose requests do not end.
-const shutdownBound = 20 * time.Second
+// shutdownTimeout bounds the wait for requests in progress at shutdown.
+const shutdownTimeout = 20 * time.Second
 
 func shutdown(server *fasthttp.Server) {
-	bound, cancel := context.WithTimeout(context.Background(), shutdownBound)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	server.ShutdownWithContext(bound)
+	server.ShutdownWithContext(ctx)
 }
 
-// Secure wraps a listener in TLS and counts the peers whose key is refused.
+// Secure wraps a listener in TLS, and counts and logs the peers whose key is refused. A nil cfg
+// returns the listener itself.
 func Secure(part string, ln net.Listener, cfg *tls.Config) net.Listener {
 	if cfg == nil {
 		return ln
 	}
-	counted := cfg.Clone()
-	counted.VerifyConnection = nil
-	return &secureListener{Listener: ln, part: part, cfg: counted}
+	clone := cfg.Clone()
+	clone.VerifyConnection = nil
+	return &secureListener{Listener: ln, part: part, cfg: clone}
 }
 
 type secureListener struct {
@@ -185,7 +188,7 @@
 	return &countedConn{Conn: tls.Server(c, l.cfg), part: l.part}, nil
 }
 
-// countedConn bounds the handshake in time and counts a failed one.
+// countedConn limits the duration of the TLS handshake and counts failed ones.
 type countedConn struct {
 	*tls.Conn
 	part string
@@ -193,19 +196,20 @@
 	err  error
 }
 
-// Handshake is called by the server before it reads the first request.
+// Handshake performs the TLS handshake once; the server calls it before it reads the first
+// request.
 func (c *countedConn) Handshake() error {
 	c.once.Do(func() {
 		c.SetDeadline(time.Now().Add(headerReadTimeout))
 		if c.err = c.Conn.Handshake(); c.err != nil {
-			c.refused()
+			c.countRefusal()
 		}
 		c.SetDeadline(time.Time{})
 	})
 	return c.err
 }
 
-func (c *countedConn) refused() {
+func (c *countedConn) countRefusal() {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`waxwinghaven_handshakes_refused_total{part=%q}`, c.part)).Inc()
 	logrus.WithField("peer", c.RemoteAddr().String()).Warnf("%s: Refused a peer without a valid key: %v.", c.part, c.err)
 }
@@ -217,7 +221,7 @@
 	return c.Conn.Read(b)
 }
 
-// Listen opens a listener on an address from settings.
+// Listen opens a listener on an address from the settings.
 func Listen(address string) (net.Listener, error) {
 	if n := network.Load(); n != nil {
 		return (*n).Listen(address)
