--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs the roles that a settings file asks for in one process.
+// Package daemon runs the roles that a settings file configures in one process.
 package daemon
 
 import (
@@ -27,7 +27,7 @@
 	ExitOK       = 0
 	ExitFailed   = 1 // a role ended with an error
 	ExitSettings = 2 // the settings were refused
-	ExitForced   = 3 // a second signal ended it at once
+	ExitForced   = 3 // a second signal ended it immediately
 )
 
 // SetupLog applies the log settings.
@@ -37,25 +37,25 @@
 		logrus.SetLevel(level)
 	}
 	if l.Format == "json" {
-		// Readers of structured lines want them on standard output, and no
-		// line may ever hold a request up.
-		out = newLogWriter(os.Stdout)
-		logrus.SetOutput(out)
+		// Log collectors read structured lines from standard output. A slow reader must
+		// not delay requests.
+		logOut = newLogWriter(os.Stdout)
+		logrus.SetOutput(logOut)
 		logrus.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	} else {
 		logrus.SetFormatter(&logrus.TextFormatter{FullTimestamp: true})
 	}
 }
 
-// SignalContext returns a context that the first SIGTERM or SIGINT ends. A
-// second one exits the process at once.
+// SignalContext returns a context that the first SIGTERM or SIGINT cancels. A
+// second one exits the process immediately.
 func SignalContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		<-ch
-		logrus.Info("daemon: Shutting down. A second signal ends it at once.")
+		logrus.Info("daemon: Shutting down. A second signal exits immediately.")
 		cancel()
 		<-ch
 		os.Exit(ExitForced)
@@ -65,8 +65,8 @@
 
 // Run runs the roles until the context ends or one of them fails.
 //
-// The roles end in the order in which requests pass them: an entry first, so
-// that the agent and the control it needs are still there while it drains.
+// The roles stop in the order in which requests pass through them: an entry first, so
+// that the agent and the control that it needs are still available while it drains.
 func Run(ctx context.Context, set *settings.Settings) error {
 	limitMemory(set)
 	g, ctx := errgroup.WithContext(ctx)
@@ -79,21 +79,21 @@
 		if err != nil {
 			return err
 		}
-		ended = runThenEnd(g, ended, run)
+		ended = startRole(g, ended, run)
 	}
 	if set.Agent != nil {
 		run, err := agentRole(set)
 		if err != nil {
 			return err
 		}
-		ended = runThenEnd(g, ended, run)
+		ended = startRole(g, ended, run)
 	}
 	if set.Control != nil {
 		run, err := controlRole(set)
 		if err != nil {
 			return err
 		}
-		runThenEnd(g, ended, run)
+		startRole(g, ended, run)
 	}
 	return g.Wait()
 }
@@ -123,10 +123,10 @@
 	return a.Run, nil
 }
 
-// syncProcessors is how many processors a control replica's runtime schedules on, also on an
-// instance with one. A goroutine that syncs the disk holds its processor, mostly for the whole
-// sync: with no other one neither contact nor leases are answered meanwhile, and under load
-// one sync follows the other.
+// syncProcessors is the minimum GOMAXPROCS of a control replica, also on an instance with one
+// processor. A goroutine that syncs the disk usually holds its processor for the whole sync:
+// without a second one, heartbeats and lease renewals go unanswered meanwhile, and under load
+// syncs follow one another without a break.
 const syncProcessors = 2
 
 func controlRole(set *settings.Settings) (role, error) {
@@ -147,9 +147,9 @@
 	}, nil
 }
 
-// memoryShare is the part of a process's memory up to which the heap may grow
-// before the collector works without a break. The rest is for stacks, buffers
-// of the system and what arrived but was not read.
+// memoryShare is the part of a process's memory that is set as the runtime's memory limit,
+// near which the garbage collector runs continuously. The rest is a reserve for stacks,
+// system buffers and data that has arrived but was not read.
 const memoryShare = 0.6
 
 func limitMemory(set *settings.Settings) {
@@ -160,7 +160,7 @@
 
 const metricsBody = 1 << 10 // bytes
 
-// serveMetrics serves the counters of a process whose roles have no port for it.
+// serveMetrics serves /metrics for a process whose roles have no port for it.
 func serveMetrics(ctx context.Context, set *settings.Settings) error {
 	ln, err := transport.Listen(set.Address(set.Instance.MetricsPort))
 	if err != nil {
@@ -176,12 +176,12 @@
 	return transport.ServeHTTP(ctx, transport.NewHTTPServer("metrics", h, metricsBody), ln)
 }
 
-// runThenEnd starts a role and returns a context that ends when it has ended.
-func runThenEnd(g *errgroup.Group, ctx context.Context, run func(context.Context) error) context.Context {
-	after, cancel := context.WithCancel(context.Background())
+// startRole starts a role and returns a context that is cancelled when the role has ended.
+func startRole(g *errgroup.Group, ctx context.Context, run func(context.Context) error) context.Context {
+	done, cancel := context.WithCancel(context.Background())
 	g.Go(func() error {
 		defer cancel()
 		return run(ctx)
 	})
-	return after
+	return done
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -7,11 +7,11 @@
 	"github.com/waxwinghaven/waxwinghaven/settings"
 )
 
-// On an instance with one processor, agents and followers hear nothing of a leader that syncs its
-// disk: it must have a second one to schedule on.
+// With GOMAXPROCS=1 a leader sends no heartbeats and answers no agents while it syncs its disk.
+// A control replica must raise it to at least two.
 func TestControlServesWhileItsDiskSyncs(t *testing.T) {
-	had := runtime.GOMAXPROCS(1)
-	t.Cleanup(func() { runtime.GOMAXPROCS(had) })
+	previous := runtime.GOMAXPROCS(1)
+	t.Cleanup(func() { runtime.GOMAXPROCS(previous) })
 	set, err := settings.Parse("test", `
 [instance]
 name = "control-1"
--- a/daemon/logwriter.go
+++ b/daemon/logwriter.go
@@ -7,41 +7,40 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// logQueue is how many lines may wait for a slow reader: a few seconds of a busy
-// process, under a megabyte.
+// logQueue is the number of lines queued for a slow reader: a few seconds of a busy
+// process, less than a megabyte.
 const logQueue = 4096
 
 var linesDropped = metrics.NewCounter(`waxwinghaven_log_lines_dropped_total`)
 
-// logWriter writes lines behind the caller's back. When its reader is too slow,
-// lines are dropped and counted: a full pipe would otherwise stop every request
-// at its next log line.
+// logWriter writes lines asynchronously. When the reader is too slow, lines are dropped and
+// counted: a full pipe would otherwise block every request at its next log line.
 type logWriter struct{ lines chan []byte }
 
-// out is the writer in use, nil where lines are written at once.
-var out *logWriter
+// logOut is the writer in use, nil if lines are written synchronously.
+var logOut *logWriter
 
 // flushTime bounds the wait for the last lines of a process.
 const flushTime = 200 * time.Millisecond
 
-// FlushLog waits for the lines that are still queued: the last ones tell why a
-// process ends. A reader that takes none holds it up for a moment only.
+// FlushLog waits for the queued lines to be written, since the last ones tell why the process
+// ends. It gives up after flushTime if the reader is blocked.
 func FlushLog() {
-	if out == nil {
+	if logOut == nil {
 		return
 	}
-	bound := time.Now().Add(flushTime)
-	for len(out.lines) > 0 && time.Now().Before(bound) {
+	deadline := time.Now().Add(flushTime)
+	for len(logOut.lines) > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(time.Millisecond) // the last line has left the queue and is being written
+	time.Sleep(time.Millisecond) // the last line has left the queue but may not be written yet
 }
 
 func newLogWriter(to io.Writer) *logWriter {
 	w := &logWriter{make(chan []byte, logQueue)}
 	go func() {
 		for b := range w.lines {
-			to.Write(b) // nobody is left to be told of an error here
+			to.Write(b) // an error can't be reported: this is the log
 		}
 	}()
 	return w
--- a/daemon/logwriter_test.go
+++ b/daemon/logwriter_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// stuckReader takes no line at all.
-type stuckReader struct{}
+// blockedWriter never returns from a write.
+type blockedWriter struct{}
 
-func (stuckReader) Write([]byte) (int, error) { select {} }
+func (blockedWriter) Write([]byte) (int, error) { select {} }
 
-// Whoever reads the log has stopped reading. A request that writes its line must
-// not wait for that; the lines that find no room are counted.
+// When the reader of the log has stopped reading, a request that logs a line must not
+// block. Lines that do not fit into the queue are dropped and counted.
 func TestLogNeverWaitsForItsReader(t *testing.T) {
-	w := newLogWriter(stuckReader{})
+	w := newLogWriter(blockedWriter{})
 	before := linesDropped.Get()
 	for range logQueue + 100 {
 		if n, err := w.Write([]byte("line")); n != 4 || err != nil {
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -11,26 +11,26 @@
 	"github.com/waxwinghaven/waxwinghaven/settings"
 )
 
-// reloadPoll is how often the settings file is looked at: it may change without
+// reloadPoll is the interval at which the settings file is checked: it may change without
 // a signal, and a change must be in force within two seconds.
 const reloadPoll = time.Second
 
-// HangUps returns a channel of SIGHUPs. It is asked for before anything else: a
-// process that does not catch the signal is ended by it.
+// HangUps returns a channel that receives SIGHUP. Call it before anything else: a
+// process that does not catch the signal is terminated by it.
 func HangUps() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
 }
 
-// Reload takes over what changes in a settings file, on SIGHUP and when its
-// content changes, until the context ends. A file that can't be read or is
-// refused changes nothing. Requests in progress notice nothing.
+// Reload applies changes of a settings file, on SIGHUP and when its content changes, until
+// the context ends. A file that can't be read or is invalid changes nothing. Requests in
+// progress are not affected.
 func Reload(ctx context.Context, path string, set *settings.Settings, hup <-chan os.Signal) error {
 	tick := time.NewTicker(reloadPoll)
 	defer tick.Stop()
-	// The text that was loaded, not the file as it is by now: it may have
-	// changed in between.
+	// Compare with the text that was loaded, not with the file's present content: it may
+	// have changed since.
 	last := set.Text()
 	for {
 		select {
@@ -47,20 +47,20 @@
 		}
 		if string(now) != last {
 			last = string(now)
-			takeOver(path, last, set)
+			apply(path, last, set)
 		}
 	}
 }
 
-func takeOver(path, text string, set *settings.Settings) {
+func apply(path, text string, set *settings.Settings) {
 	newer, err := settings.Parse(path, text)
 	if err != nil {
 		logrus.Errorf("daemon: The changed settings are refused, the old ones stay in force: %v.", err)
 		return
 	}
-	set.TakeOver(newer)
+	set.Apply(newer)
 	if level, err := logrus.ParseLevel(newer.Log.Level); err == nil {
 		logrus.SetLevel(level)
 	}
-	logrus.WithField("contacts", newer.Contacts()).Info("daemon: Took the changed settings over.")
+	logrus.WithField("contacts", newer.Contacts()).Info("daemon: Applied the changed settings.")
 }
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -25,9 +25,9 @@
 `
 
 // The platform sends SIGHUP when the settings file has changed. A process that
-// does not catch the signal ends at once: callers' requests are cut off and its
-// worker's lease lapses. A caught one takes the new contacts over; a file that is
-// refused changes nothing.
+// does not catch the signal is terminated: callers' requests are cut off and its
+// worker's lease lapses. The signal must instead apply the new bootstrap addresses; an
+// invalid file changes nothing.
 func TestHangUpReloadsAndDoesNotEndTheProcess(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "agent.toml")
 	write := func(text string) {
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,6 +1,6 @@
-// Package refusal has the typed errors that leave the system: to callers,
-// operators, and between its own processes. Each has a short code that
-// counters and headers carry, and a message that names the remedy.
+// Package refusal defines the typed errors that are sent to callers and operators and
+// between the system's own processes. Each has a short code, used in metrics and headers,
+// a message and a remedy.
 package refusal
 
 import (
@@ -16,10 +16,10 @@
 // Class groups the errors of this package.
 var Class = errs.Class("refusal")
 
-// Code is the short, stable name of a reason.
+// Code is the short, stable identifier of a reason.
 type Code string
 
-// Codes told to operators.
+// Codes sent to operators.
 const (
 	NotLeader      Code = "not-leader"
 	NoQuorum       Code = "no-quorum"
@@ -38,7 +38,7 @@
 	Behind         Code = "behind"
 )
 
-// Codes told to callers.
+// Codes sent to callers.
 const (
 	NoRoute        Code = "no-route"
 	NoUpstream     Code = "no-upstream"
@@ -61,25 +61,26 @@
 	RetryBudget    Code = "retry-budget-spent"
 )
 
-// Error is one refusal.
+// Error describes one refusal.
 type Error struct {
 	Code    Code   `msgpack:"c" json:"code"`
 	Message string `msgpack:"m" json:"message"`
 	Remedy  string `msgpack:"r" json:"remedy"`
-	// Leader is the address to ask instead, with NotLeader.
+	// Leader is the address of the leader to ask instead, with NotLeader.
 	Leader string `msgpack:"l,omitempty" json:"leader,omitempty"`
-	// LeaderHeard is how long ago the replica that names a leader last heard from it.
+	// LeaderHeard is the time since the replica that names a leader last received a message
+	// from it.
 	LeaderHeard time.Duration `msgpack:"h,omitempty" json:"-"`
-	// Winner is the change that was accepted first, with Conflict.
+	// Winner is the id of the last accepted change, with Conflict.
 	Winner string `msgpack:"w,omitempty" json:"winner,omitempty"`
-	// Revision is the present one, with Conflict, or the version of the configuration
-	// that a look-up was refused by.
+	// Revision is the current revision, with Conflict; else the version of the configuration
+	// according to which a look-up was refused.
 	Revision uint64 `msgpack:"v,omitempty" json:"revision,omitempty"`
-	// RetryAfter is how long to wait before asking again, 0 if it is no use.
+	// RetryAfter is how long to wait before a retry, 0 if a retry can't succeed.
 	RetryAfter time.Duration `msgpack:"a,omitempty" json:"retry_after_ns,omitempty"`
 }
 
-// Error returns the message and its remedy.
+// Error returns the code, the message and the remedy.
 func (e *Error) Error() string {
 	if e.Remedy == "" {
 		return fmt.Sprintf("%s: %s", e.Code, e.Message)
@@ -92,31 +93,31 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Remedy: remedy}
 }
 
-// Of returns the refusal inside err, if there is one.
+// Of returns the refusal that err is or wraps, if there is one.
 func Of(err error) (*Error, bool) {
 	var e *Error
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// Is reports whether err is a refusal with this code.
+// Is reports whether err is or wraps a refusal with the given code.
 func Is(err error, code Code) bool {
 	e, ok := Of(err)
 	return ok && e.Code == code
 }
 
-// Count adds one to the counter of refusals by part and reason.
+// Count increments the counter of refusals by part and reason.
 func Count(part string, code Code) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`waxwinghaven_refusals_total{part=%q,reason=%q}`, part, string(code))).Inc()
 }
 
-// CountRetry adds one to the counter of retries by part and reason.
+// CountRetry increments the counter of retries by part and reason.
 func CountRetry(part string, code Code) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`waxwinghaven_retries_total{part=%q,reason=%q}`, part, string(code))).Inc()
 }
 
-// Spread returns a time between base and twice base, so that callers refused
-// together do not return together.
+// Spread returns a random duration from base up to twice base, so that callers refused at
+// the same time do not retry at the same time.
 func Spread(base time.Duration) time.Duration {
 	return base + rand.N(base)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's TOML file. Decoding is strict: an unknown
-// key, a wrong unit or a missing table is an error that names the file, the key
-// and the remedy.
+// Package settings reads a process's TOML settings file. Decoding is strict: an
+// unknown key, a wrong unit or a missing table is an error that names the file, the
+// key and the remedy.
 package settings
 
 import (
@@ -21,10 +21,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-// Duration is a time with its unit, such as "500ms" or "10s".
+// Duration is a duration written with its unit, such as "500ms" or "10s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a duration that carries its unit.
+// UnmarshalText implements encoding.TextUnmarshaler. A number without a unit is an error.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Settings is one process's file.
+// Settings is the content of one process's settings file.
 type Settings struct {
 	Instance Instance  `toml:"instance"`
 	Log      Log       `toml:"log"`
@@ -45,20 +45,20 @@
 	Agent    *Agent    `toml:"agent"`
 	Platform *Platform `toml:"platform"`
 
-	text     string // that was read
+	text     string // as it was read
 	contacts atomic.Pointer[[]string]
 }
 
-// Instance tells who and where the process is.
+// Instance identifies the process and its location.
 type Instance struct {
 	Name       string `toml:"name"`
 	DataCentre string `toml:"data_centre"`
 	// IP is the address that the process binds and dials from.
 	IP string `toml:"ip"`
-	// MemoryMB is what the process may use, 0 for no bound. The collector
-	// works harder as it comes near.
+	// MemoryMB is the memory that the process may use, 0 for no bound. The garbage
+	// collector runs more often as memory use approaches it.
 	MemoryMB int `toml:"memory_mb"`
-	// MetricsPort serves /metrics where the role has no other port for it, 0
+	// MetricsPort is the port for /metrics of roles that have no other port for it, 0
 	// for none.
 	MetricsPort int `toml:"metrics_port"`
 	// Drain bounds a graceful shutdown.
@@ -71,20 +71,20 @@
 	Format string `toml:"format"`
 }
 
-// TLS names the PEM files of the process's key. Without the table the links
-// between processes are plain, which suits a single machine only.
+// TLS names the PEM files of the process's key. Without this table the connections
+// between processes are unencrypted, which is only acceptable on a single machine.
 type TLS struct {
 	Authority   string `toml:"authority"`
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 }
 
-// Peers tells where the control replicas are.
+// Peers lists the addresses of the control replicas.
 type Peers struct {
 	Control []string `toml:"control"`
-	// Seeds are first contacts instead of the whole list: some of the
-	// control replicas as they stood once. They may be cut off or gone; the
-	// replicas that answer tell of the others.
+	// Seeds are bootstrap addresses, given instead of the complete list: those of some
+	// control replicas at some earlier time. Some may be unreachable or no longer exist;
+	// the replicas that answer return the addresses of the others.
 	Seeds []string `toml:"seeds"`
 	// SeedPort replaces the port of the seeds, 0 to keep it.
 	SeedPort int `toml:"seed_port"`
@@ -97,59 +97,59 @@
 	DataFolder   string   `toml:"data_folder"`
 	Tick         Duration `toml:"tick"`
 	Lease        Duration `toml:"lease"`
-	// LongestLease is the longest lease that workers take, whoever asks for it; by default
-	// twice what the control lends. Where a worker starts again under its id, a late call for
-	// the start before may lend it that much.
+	// LongestLease is the longest lease that workers accept from any caller; by default
+	// twice the lease that the control grants. After a worker restarts under the same id, a
+	// late call for its previous incarnation may grant it a lease of that length.
 	LongestLease    Duration `toml:"longest_lease"`
 	SnapshotEntries uint64   `toml:"snapshot_entries"`
 	Schedule        Duration `toml:"schedule"`
-	// BearLosses is how many control replicas may be lost at once while nothing
-	// stops and nothing is lost. It is nil if it isn't given; see Losses.
-	BearLosses *int `toml:"bear_losses"`
-	// OwnAgents is how many agents the leader hands orders out to by itself, nil for the
-	// default. The others are sent to followers.
+	// LossTolerance is the number of control replicas that may fail simultaneously without
+	// loss of availability or data. It is nil if it isn't given; see Losses.
+	LossTolerance *int `toml:"bear_losses"`
+	// OwnAgents is the number of agents that the leader sends orders to directly, nil for the
+	// default. Further agents are referred to followers.
 	OwnAgents *int `toml:"own_agents"`
-	// DataCentres names the data centres that operators may take out of service, beside
-	// those in which anything of the system stands.
+	// DataCentres names the data centres that operators may take out of service, in addition
+	// to those in which any part of the system runs.
 	DataCentres []string `toml:"data_centres"`
-	// FormFromSeeds makes the seeds the first replica set. It is for the very
-	// first start of the whole system only.
+	// FormFromSeeds makes the seeds the initial replica set. Set it only for the first
+	// start of the whole system.
 	FormFromSeeds bool `toml:"form_from_seeds"`
 }
 
-// Losses returns how many control replicas may be lost at once: as given, or what
-// the listed ones bear.
+// Losses returns the number of control replicas that may fail simultaneously: as given,
+// else what the listed replicas tolerate.
 func (s *Settings) Losses() int {
 	switch {
-	case s.Control != nil && s.Control.BearLosses != nil:
-		return *s.Control.BearLosses
+	case s.Control != nil && s.Control.LossTolerance != nil:
+		return *s.Control.LossTolerance
 	case len(s.Peers.Control) > 0:
 		return (len(s.Peers.Control) - 1) / 2
 	}
-	return DefaultBearLosses
+	return DefaultLossTolerance
 }
 
-// Platform makes the process speak the users' platform's protocol in place of
-// the system's own towards callers, operators and workers. Addresses are an IP
-// number and a port; those that are not the role's business stay empty.
+// Platform makes the process use the users' platform's protocol instead of the system's
+// own towards callers, operators and workers. Addresses are an IP number and a port;
+// those that the role does not use stay empty.
 type Platform struct {
-	// Callers and Ready belong to an entry: where callers and the balancer
-	// reach it.
+	// Callers and Ready belong to an entry: the addresses that it serves callers and
+	// the load balancer on.
 	Callers string `toml:"callers"`
 	Ready   string `toml:"ready"`
 	// Operators belongs to a control replica.
 	Operators string `toml:"operators"`
-	// Announce and Worker belong to an agent: where its worker announces
-	// itself, and where it takes calls.
+	// Announce and Worker belong to an agent: the address at which its worker announces
+	// itself, and the worker's own address.
 	Announce string `toml:"announce"`
 	Worker   string `toml:"worker"`
-	// Machines and Advisor belong to a control replica: the platform's interface
-	// for machines, and the one that tells which workers may run a step. Either may
-	// be empty.
+	// Machines and Advisor belong to a control replica: the addresses of the platform's
+	// machine interface and of the advisor, which tells which workers may run a step.
+	// Either may be empty.
 	Machines string `toml:"machines"`
 	Advisor  string `toml:"advisor"`
-	// MachineLease is how long a new leader waits before it gives orders about
-	// machines, and UpkeepTime how long a machine is down for its upkeep.
+	// MachineLease is how long a new leader waits before it sends orders for
+	// machines; UpkeepTime is how long a machine is down for upkeep.
 	MachineLease Duration `toml:"machine_lease"`
 	UpkeepTime   Duration `toml:"upkeep_time"`
 }
@@ -157,43 +157,43 @@
 // Entry makes the process an entry instance.
 type Entry struct {
 	Port int `toml:"port"`
-	// HealthPort serves /healthz, /readyz and /metrics to the balancer.
+	// HealthPort serves /healthz, /readyz and /metrics to the load balancer.
 	HealthPort int `toml:"health_port"`
-	// MaxBody is the largest request and answer, in bytes.
+	// MaxBody is the maximum size of a request or response body, in bytes.
 	MaxBody int `toml:"max_body_bytes"`
-	// Sync is the interval at which news is asked for.
+	// Sync is the interval at which the entry polls the control for updates.
 	Sync Duration `toml:"sync"`
-	// CutOffAfter is how long without a control replica's answer the entry
-	// takes its configuration for the one in force.
+	// CutOffAfter is how long the entry assumes that its configuration is in force
+	// while no control replica answers.
 	CutOffAfter Duration `toml:"cut_off_after"`
-	// LeaveWait is how long the entry keeps serving after it told the
-	// balancer that it is not ready any more.
+	// LeaveWait is how long the entry keeps serving after it has reported to the
+	// load balancer that it is not ready.
 	LeaveWait Duration `toml:"leave_wait"`
 }
 
 // Agent makes the process the agent beside an upstream and a worker.
 type Agent struct {
 	Port int `toml:"port"`
-	// LocalPort is where the upstream announces itself.
+	// LocalPort is the port on which the upstream announces itself.
 	LocalPort int `toml:"local_port"`
 	// Renew is the interval of lease renewals.
 	Renew   Duration `toml:"renew"`
 	MaxBody int      `toml:"max_body_bytes"`
-	// AnnounceTimeout is how long after its last heartbeat an upstream is
-	// taken for gone.
+	// AnnounceTimeout is the time after its last heartbeat at which an upstream is
+	// considered lost.
 	AnnounceTimeout Duration `toml:"announce_timeout"`
-	// CordonBound is how long after an order that takes the data centre out of service
-	// was acknowledged something may still be started here.
+	// CordonBound is how long after the acknowledgement of an order that takes the data
+	// centre out of service a start may still happen here.
 	CordonBound Duration `toml:"cordon_bound"`
 }
 
-// cordonMargin is kept of CordonBound for the way of a start to the worker, whose call is
-// given up after half a second, and for a processor that is busy.
+// cordonMargin is the part of CordonBound reserved for the start call to the worker, which
+// times out after half a second, and for scheduling delays on a busy processor.
 const cordonMargin = 1500 * time.Millisecond
 
-// StartWord is how old the control's word that the data centre is in service may be for
-// something to be started by it. An agent that hears nothing starts nothing: the order may
-// have been acknowledged meanwhile.
+// StartWord returns the maximum age of the control's last confirmation that the data centre
+// is in service at which the agent still starts something. An agent without a recent
+// confirmation starts nothing, since a cordon order may have been acknowledged since.
 func (a *Agent) StartWord() time.Duration { return a.CordonBound.Duration - cordonMargin }
 
 // Defaults.
@@ -201,15 +201,16 @@
 	DefaultDrain = 15 * time.Second
 	DefaultTick  = 50 * time.Millisecond
 	DefaultLease = 8 * time.Second
-	// DefaultLongestLeases is the longest lease that workers take, in leases of the control.
+	// DefaultLongestLeases is the longest lease that workers accept, as a multiple of the
+	// control's lease.
 	DefaultLongestLeases   = 2
 	DefaultSnapshotEntries = 20_000
-	// DefaultBearLosses is for replicas that are told first contacts only: what the
-	// smallest set that outlives a loss bears, one of three.
-	DefaultBearLosses = 1
-	DefaultSchedule   = 100 * time.Millisecond
-	// DefaultOwnAgents costs a leader some hundredths of a core. An order through a follower
-	// is there a contact round later.
+	// DefaultLossTolerance applies to replicas that are configured with seeds only. It is the
+	// tolerance of the smallest set that survives a loss: one replica of three.
+	DefaultLossTolerance = 1
+	DefaultSchedule      = 100 * time.Millisecond
+	// DefaultOwnAgents agents cost the leader a few hundredths of a core. An order that goes
+	// through a follower arrives one heartbeat round later.
 	DefaultOwnAgents       = 128
 	DefaultMaxBody         = 8 << 20
 	DefaultSync            = 500 * time.Millisecond
@@ -271,7 +272,7 @@
 	}
 }
 
-// Load reads and checks a file. Relative paths in it count from its folder.
+// Load reads and validates a file. Relative paths in it are resolved against its folder.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -280,7 +281,8 @@
 	return Parse(path, string(b))
 }
 
-// Parse checks the text of a settings file; path is for its messages.
+// Parse validates the text of a settings file. The path is used in error messages and to
+// resolve relative paths.
 func Parse(path, text string) (*Settings, error) {
 	s := Settings{text: text}
 	md, err := toml.Decode(text, &s)
@@ -374,19 +376,19 @@
 	return s.checkLosses()
 }
 
-// maxBearLosses needs nine replicas, each of which every change is sent to.
-const maxBearLosses = 4
+// maxLossTolerance takes nine replicas, and every change is sent to each of them.
+const maxLossTolerance = 4
 
 func (s *Settings) checkLosses() error {
-	if s.Control == nil || s.Control.BearLosses == nil {
+	if s.Control == nil || s.Control.LossTolerance == nil {
 		return nil
 	}
-	bear, listed := *s.Control.BearLosses, len(s.Peers.Control)
-	if bear < 0 || bear > maxBearLosses {
-		return fmt.Errorf("control.bear_losses is %d; give the number of control replicas that may be lost at once, 0 to %d", bear, maxBearLosses)
+	tolerance, listed := *s.Control.LossTolerance, len(s.Peers.Control)
+	if tolerance < 0 || tolerance > maxLossTolerance {
+		return fmt.Errorf("control.bear_losses is %d; give the number of control replicas that may be lost at once, 0 to %d", tolerance, maxLossTolerance)
 	}
-	if listed > 0 && listed < 2*bear+1 {
-		return fmt.Errorf("control.bear_losses is %d, which takes %d control replicas; peers.control lists %d", bear, 2*bear+1, listed)
+	if listed > 0 && listed < 2*tolerance+1 {
+		return fmt.Errorf("control.bear_losses is %d, which takes %d control replicas; peers.control lists %d", tolerance, 2*tolerance+1, listed)
 	}
 	return nil
 }
@@ -429,26 +431,26 @@
 	return nil
 }
 
-// Text returns what was read, so that a change of the file can be told.
+// Text returns the text that was read, so that a change of the file can be detected.
 func (s *Settings) Text() string { return s.text }
 
-// Contacts returns the addresses at which control replicas are first looked for,
-// by the newest settings that were taken over.
+// Contacts returns the bootstrap addresses of the control replicas, according to the newest
+// settings that were applied.
 func (s *Settings) Contacts() []string {
 	if p := s.contacts.Load(); p != nil {
 		return *p
 	}
-	return s.readContacts()
+	return s.initialContacts()
 }
 
-// TakeOver puts those settings of a newer file in force that need no restart:
-// the first contacts.
-func (s *Settings) TakeOver(newer *Settings) {
-	list := newer.readContacts()
+// Apply puts those settings of a newer file in force that need no restart:
+// the bootstrap addresses.
+func (s *Settings) Apply(newer *Settings) {
+	list := newer.initialContacts()
 	s.contacts.Store(&list)
 }
 
-func (s *Settings) readContacts() []string {
+func (s *Settings) initialContacts() []string {
 	if len(s.Peers.Seeds) == 0 {
 		return s.Peers.Control
 	}
@@ -485,7 +487,7 @@
 	return p
 }
 
-// checkPlatform asks for the addresses that a role cannot do without.
+// checkPlatform requires the addresses that the configured roles need.
 func (s *Settings) checkPlatform() error {
 	p := s.Platform
 	if p == nil {
@@ -504,7 +506,7 @@
 		{"platform.advisor", p.Advisor, false},
 	}
 	for _, n := range needed {
-		if n.value == "" && !n.role { // not this role's business
+		if n.value == "" && !n.role { // not needed by this role
 			continue
 		}
 		if _, err := netip.ParseAddrPort(n.value); err != nil {
@@ -571,7 +573,7 @@
 	return nil
 }
 
-// Address joins the instance's IP number with a port.
+// Address returns the instance's IP number joined with a port.
 func (s *Settings) Address(port int) string {
 	return net.JoinHostPort(s.Instance.IP, fmt.Sprint(port))
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Every file under testdata/bad starts with a comment that holds its exact error.
+// Each file under testdata/bad starts with a comment that holds the exact error expected.
 func TestBadSettingsNameFileKeyAndRemedy(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(files) < 10 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// The smallest files for each role are good, and what they leave out is filled in.
+// Minimal files for each role are accepted, and missing values get their defaults.
 func TestGoodSettings(t *testing.T) {
 	files, err := filepath.Glob("testdata/good/*.toml")
 	if err != nil || len(files) < 3 {
@@ -52,15 +52,15 @@
 	}
 }
 
-// A replica set that is to bear no loss is a choice, not a value left out; and where
-// every replica is listed, the list tells what it bears.
-func TestLossesToBear(t *testing.T) {
+// An explicit tolerance of 0 must not be mistaken for a missing value. Where all replicas
+// are listed, the default tolerance follows from their number.
+func TestLossTolerance(t *testing.T) {
 	const head = "[instance]\nname=\"i\"\ndata_centre=\"dc\"\nip=\"10.0.0.1\"\n[control]\nport=7101\noperator_port=7102\ndata_folder=\"/d\"\n"
 	cases := []struct {
 		text string
 		want int
 	}{
-		{head + "[peers]\nseeds=[\"10.0.0.1:7101\"]\n", DefaultBearLosses},
+		{head + "[peers]\nseeds=[\"10.0.0.1:7101\"]\n", DefaultLossTolerance},
 		{head + "bear_losses=0\n[peers]\nseeds=[\"10.0.0.1:7101\"]\n", 0},
 		{head + "bear_losses=2\n[peers]\nseeds=[\"10.0.0.1:7101\"]\n", 2},
 		{head + "[peers]\ncontrol=[\"10.0.0.1:7101\",\"10.0.0.2:7101\",\"10.0.0.3:7101\",\"10.0.0.4:7101\",\"10.0.0.5:7101\"]\n", 2},
