--- a/cmd/waxwinghaven/bench.go
+++ b/cmd/waxwinghaven/bench.go
@@ -13,14 +13,14 @@
 	"github.com/waxwinghaven/waxwinghaven/standin"
 )
 
-// benchCommands are the stand-in and the load tool.
+// benchCommands adds the stand-ins and the load and measurement tools.
 func (c *cli) benchCommands() {
 	c.standinCommand()
 	c.loadCommand()
 	c.compareCommand()
 	c.scoreCommand()
 	c.scaleCommand()
-	proxy := c.app.Command("proxy", "Runs a plain reverse proxy, the yardstick for the request path.")
+	proxy := c.app.Command("proxy", "Runs a plain reverse proxy, the baseline for measurements of the request path.")
 	address, target := proxy.Arg("address", "Where it serves.").Required().String(), proxy.Arg("target", "Where it sends to.").Required().String()
 	proxy.Action(func(*kingpin.ParseContext) error {
 		return standin.RunProxy(daemon.SignalContext(), *address, *target)
@@ -28,8 +28,8 @@
 }
 
 func (c *cli) compareCommand() {
-	cmd := c.app.Command("compare", "Loads several addresses in turn and prints medians and ratios to the first.\n\nExample: waxwinghaven compare direct=127.0.0.21:7107 system=127.0.0.11:7105 --path /vault/x")
-	targets := cmd.Arg("name=address", "What to compare; the first is the yardstick.").Required().Strings()
+	cmd := c.app.Command("compare", "Sends the same load to several addresses in turn and prints medians, and differences to the first.\n\nExample: waxwinghaven compare direct=127.0.0.21:7107 system=127.0.0.11:7105 --path /vault/x")
+	targets := cmd.Arg("name=address", "What to compare; the first is the baseline.").Required().Strings()
 	o := load.Options{Host: "localhost"}
 	cmd.Flag("path", "The path.").Default("/").StringVar(&o.Path)
 	cmd.Flag("method", "The method.").Default("GET").StringVar(&o.Method)
@@ -82,11 +82,11 @@
 	cmd.Flag("method", "The method.").Default("GET").StringVar(&o.Method)
 	cmd.Flag("requests", "How many.").Default("1000").IntVar(&o.Requests)
 	cmd.Flag("concurrency", "How many at once.").Default("8").IntVar(&o.Concurrency)
-	cmd.Flag("rate", "How many to start a second; 0 for as many as go.").Float64Var(&o.Rate)
+	cmd.Flag("rate", "Requests to start per second; 0 for as many as the concurrency allows.").Float64Var(&o.Rate)
 	cmd.Flag("duration", "End after this time.").Default("0s").DurationVar(&o.Duration)
 	cmd.Flag("timeout", "The caller's deadline.").Default("0s").DurationVar(&o.Timeout)
 	cmd.Flag("keyed", "Send an Idempotency-Key.").BoolVar(&o.Keyed)
-	only := cmd.Flag("only-done", "Fail unless every request was done with its own answer.").Bool()
+	only := cmd.Flag("only-done", "Fail unless every request was done and got its own answer.").Bool()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		o.Addresses = strings.Split(*addrs, ",")
 		res, err := load.Run(o)
--- a/cmd/waxwinghaven/cluster.go
+++ b/cmd/waxwinghaven/cluster.go
@@ -14,7 +14,7 @@
 )
 
 func (c *cli) clusterCommands() {
-	c.app.Command("init", "Makes a new cluster at the first address of --to. Once in its life.").Action(func(*kingpin.ParseContext) error {
+	c.app.Command("init", "Makes a new cluster at the first address of --to. Run it only once for a system.").Action(func(*kingpin.ParseContext) error {
 		client, err := c.client()
 		if err != nil {
 			return err
@@ -25,7 +25,7 @@
 		fmt.Println("made a new cluster; the other replicas join by themselves")
 		return nil
 	})
-	c.app.Command("status", "Shows the replicas and what every instance has in force.").Action(func(*kingpin.ParseContext) error { return c.status() })
+	c.app.Command("status", "Shows the replicas, and the revision that each instance has in force.").Action(func(*kingpin.ParseContext) error { return c.status() })
 	c.app.Command("members", "Lists the agents, their upstreams and workers.").Action(func(*kingpin.ParseContext) error { return c.members() })
 	c.app.Command("hand-over", "Hands the leadership to another replica.").Action(func(*kingpin.ParseContext) error {
 		client, err := c.client()
@@ -41,12 +41,13 @@
 	})
 }
 
-// silentAfter is when an instance counts as gone for the table.
-const silentAfter = 10 * time.Second
+// unresponsiveAfter is the time without an acknowledgement after which the table lists an
+// instance as silent.
+const unresponsiveAfter = 10 * time.Second
 
-// newest merges the replicas' acknowledgements: each replica knows only of the
-// instances that asked it.
-func newest(statuses []control.StatusAnswer) (uint64, map[string]rollout.Instance) {
+// mergeAcknowledgements returns the newest revision, and the newest acknowledgement of each
+// instance. Each replica knows only the instances that asked it.
+func mergeAcknowledgements(statuses []control.StatusAnswer) (uint64, map[string]rollout.Instance) {
 	var revision uint64
 	rows := make(map[string]rollout.Instance)
 	for _, s := range statuses {
@@ -54,7 +55,7 @@
 		for _, i := range s.Instances {
 			key := i.Role + "/" + i.Name
 			old, ok := rows[key]
-			if !ok || i.Silent < old.Silent {
+			if !ok || i.SinceAck < old.SinceAck {
 				i.Revision = max(i.Revision, old.Revision)
 				rows[key] = i
 			}
@@ -63,16 +64,16 @@
 	return revision, rows
 }
 
-// instancesBehind returns the live instances without the newest revision.
+// instancesBehind returns the responsive instances without the newest revision.
 func instancesBehind(client *operator.Client) []string {
 	statuses, _ := client.Statuses()
-	revision, rows := newest(statuses)
+	revision, rows := mergeAcknowledgements(statuses)
 	var behind []string
 	if len(rows) == 0 {
-		behind = append(behind, "every instance: none was heard of yet")
+		behind = append(behind, "every instance: none has acknowledged a revision yet")
 	}
 	for key, i := range rows {
-		if i.Revision < revision && i.Silent < silentAfter {
+		if i.Revision < revision && i.SinceAck < unresponsiveAfter {
 			behind = append(behind, key)
 		}
 	}
@@ -101,18 +102,18 @@
 				fmt.Fprintf(w, "\nThe replica set %v.\n", s.Short)
 			}
 		}
-		revision, rows := newest(statuses)
+		revision, rows := mergeAcknowledgements(statuses)
 		fmt.Fprintln(w, "\nINSTANCE\tREVISION\tSTATE\tLAST HEARD")
 		for _, key := range slices.Sorted(maps.Keys(rows)) {
 			i := rows[key]
 			state := "in force"
 			switch {
-			case i.Silent > silentAfter:
+			case i.SinceAck > unresponsiveAfter:
 				state = "silent"
 			case i.Revision < revision:
 				state = "behind"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%v\n", key, i.Revision, state, i.Silent.Round(time.Millisecond))
+			fmt.Fprintf(w, "%s\t%d\t%s\t%v\n", key, i.Revision, state, i.SinceAck.Round(time.Millisecond))
 		}
 	})
 }
--- a/cmd/waxwinghaven/datacentre.go
+++ b/cmd/waxwinghaven/datacentre.go
@@ -12,11 +12,11 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// dataCentreCommands take data centres out of service and bring them back.
+// dataCentreCommands adds the commands that take data centres out of service and back.
 func (c *cli) dataCentreCommands() {
 	top := c.app.Command("data-centre", "Lists data centres, takes them out of service and brings them back.")
-	top.Command("list", "Lists them, with what still runs in each.").Action(func(*kingpin.ParseContext) error { return c.listDataCentres() })
-	c.dataCentreOrder(top, "cordon", datacentre.Cordoned, "Lets nothing new begin in a data centre. What runs there goes on until it ends.")
+	top.Command("list", "Lists data centres with the work that is still in each.").Action(func(*kingpin.ParseContext) error { return c.listDataCentres() })
+	c.dataCentreOrder(top, "cordon", datacentre.Cordoned, "Starts nothing new in a data centre. What runs there continues until it ends.")
 	c.dataCentreOrder(top, "drain", datacentre.Draining, "Cordons a data centre and moves standing tasks elsewhere, as room and callers allow.\n\nExample: waxwinghaven data-centre drain hall-a --wait 10m")
 	c.dataCentreOrder(top, "uncordon", datacentre.InService, "Brings a data centre back into service.")
 }
@@ -24,10 +24,10 @@
 func (c *cli) dataCentreOrder(top *kingpin.CmdClause, verb string, phase datacentre.Phase, help string) {
 	cmd := top.Command(verb, help)
 	name := cmd.Arg("name", "The data centre's name, as the list has it.").Required().String()
-	id := cmd.Flag("id", "The order's own id; sent again under it, it takes no effect twice.").Default(operator.NewID()).String()
+	id := cmd.Flag("id", "The order's id; an order sent again under the same id takes effect only once.").Default(operator.NewID()).String()
 	wait := new(time.Duration)
 	if phase != datacentre.InService {
-		wait = cmd.Flag("wait", "Wait until nothing runs there any more, at most so long.").Default("0s").Duration()
+		wait = cmd.Flag("wait", "Wait until nothing runs there any more, at most this long.").Default("0s").Duration()
 	}
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return c.orderDataCentre(control.DataCentreRequest{ID: *id, Name: *name, Phase: phase.String()}, *wait)
@@ -39,7 +39,8 @@
 	if err != nil {
 		return err
 	}
-	// The order builds on what is in force now: another operator's in between wins.
+	// The order is based on the present revision: if another operator's order is accepted
+	// first, this one is refused.
 	now, err := findDataCentre(client, o.Name)
 	if err != nil {
 		return err
--- a/cmd/waxwinghaven/graph.go
+++ b/cmd/waxwinghaven/graph.go
@@ -15,16 +15,16 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// graphCommands are about callers' jobs, which are graphs of steps, the queues that
-// take them and the workers that run them.
+// graphCommands adds the commands for callers' jobs, which are graphs of steps, for the queues
+// that accept them and for the workers that run them.
 func (c *cli) graphCommands() {
-	top := c.app.Command("graph", "Hands in, cancels and lists callers' jobs: graphs of steps.")
-	submit := top.Command("submit", "Hands a job in; sent again under the same path it stays one.")
+	top := c.app.Command("graph", "Submits, cancels and lists callers' jobs: graphs of steps.")
+	submit := top.Command("submit", "Submits a job; sent again under the same path it is still one job.")
 	j := control.JobRequest{}
 	submit.Arg("host", "The queue's host.").Required().StringVar(&j.Host)
 	submit.Arg("path", "The queue's prefix and the job's id of 16 hexadecimal digits.").Required().StringVar(&j.Path)
 	file := submit.Arg("file", "The job as JSON, see docs/API.md.").Required().ExistingFile()
-	wait := submit.Flag("wait", "Wait until it is over, at most so long.").Default("0s").Duration()
+	wait := submit.Flag("wait", "Wait until it has ended, at most this long.").Default("0s").Duration()
 	submit.Action(func(*kingpin.ParseContext) error { return c.submitGraph(j, *file, *wait) })
 
 	cancel := top.Command("cancel", "Cancels a job.")
@@ -41,7 +41,7 @@
 
 	list := top.Command("list", "Lists jobs, the newest first.")
 	id := list.Flag("id", "Only this job.").String()
-	limit := list.Flag("limit", "At most so many.").Default("100").Int()
+	limit := list.Flag("limit", "At most this many.").Default("100").Int()
 	list.Action(func(*kingpin.ParseContext) error { return c.listGraphs(*id, *limit) })
 
 	c.app.Command("workers", "Lists the workers of callers' jobs.").Action(func(*kingpin.ParseContext) error { return c.listWorkers() })
@@ -53,7 +53,7 @@
 	put.Action(func(*kingpin.ParseContext) error { return c.putQueues(*config) })
 }
 
-// readFile reads a JSON file strictly: a misspelt field must not be ignored.
+// readFile reads a JSON file strictly, since a misspelt field must not be ignored.
 func readFile(path string, v any) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -83,16 +83,16 @@
 	return c.awaitGraph(client, path.Base(j.Path), wait)
 }
 
-// graphPoll is the interval at which the command asks how a job is.
+// graphPoll is the interval at which awaitGraph polls a job's phase.
 const graphPoll = 100 * time.Millisecond
 
-// awaitGraph waits for a job's end. Any end but its completion is an error.
+// awaitGraph waits for a job's end. Any end other than completion is an error.
 func (c *cli) awaitGraph(client *operator.Client, id string, wait time.Duration) error {
 	phase := "not known"
 	for deadline := time.Now().Add(wait); time.Now().Before(deadline); time.Sleep(graphPoll) {
 		list, err := client.Jobs(id, 1)
 		if err != nil || len(list) == 0 {
-			continue // a replica may be away; the deadline bounds the wait
+			continue // a replica may be unavailable; the deadline bounds the wait
 		}
 		phase = list[0].Phase
 		switch phase {
--- a/cmd/waxwinghaven/losses.go
+++ b/cmd/waxwinghaven/losses.go
@@ -13,14 +13,14 @@
 	"github.com/waxwinghaven/waxwinghaven/losses"
 )
 
-// lossesCommand tells where service was lost, from the processes' logs.
+// lossesCommand adds the command that accounts for lost service from the processes' logs.
 func (c *cli) lossesCommand() {
-	cmd := c.app.Command("losses", "Accounts for lost service from the logs of all processes: standing tasks over their target or away, and where other jobs' time went.")
-	files := cmd.Arg("file", "Logs as the processes wrote them, a prefix before each line allowed.").Required().ExistingFiles()
+	cmd := c.app.Command("losses", "Accounts for lost service from the logs of all processes: for standing tasks the time over their target or not running, for other jobs where their time went.")
+	files := cmd.Arg("file", "Logs as the processes wrote them; each line may have a prefix.").Required().ExistingFiles()
 	job := cmd.Flag("job", "Only this job, by its id.").String()
-	path := cmd.Flag("path", "Instead, how long each stage of the way of a call and its tasks took.").Bool()
+	path := cmd.Flag("path", "Print the latency of each stage of a call and its tasks instead.").Bool()
 	plot := cmd.Flag("plot", "With --path: also draw it, as an SVG file.").String()
-	windows := cmd.Flag("windows", "Also the time over target by two seconds.").Bool()
+	windows := cmd.Flag("windows", "Also print the time over target in windows of two seconds.").Bool()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		var l losses.Log
 		for _, name := range *files {
@@ -80,19 +80,19 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "FROM S\tTASK-SECONDS OVER TARGET")
-	for _, k := range slices.Sorted(maps.Keys(a.Over)) {
-		fmt.Fprintf(w, "%.0f\t%.1f\n", (time.Duration(k) * losses.Window).Seconds(), a.Over[k].Seconds())
+	for _, k := range slices.Sorted(maps.Keys(a.OverTarget)) {
+		fmt.Fprintf(w, "%.0f\t%.1f\n", (time.Duration(k) * losses.Window).Seconds(), a.OverTarget[k].Seconds())
 	}
 }
 
 func printJob(a *losses.Account, id string) error {
 	j := a.Job(id)
 	if j == nil {
-		return fmt.Errorf("the logs have no line that job %s was taken in; give the logs of all control replicas", id)
+		return fmt.Errorf("the logs have no line for the acceptance of job %s; give the logs of all control replicas", id)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "%s\t%s, taken in %s\n", j.ID, j.Kind, j.Arrived.Format(time.RFC3339Nano))
+	fmt.Fprintf(w, "%s\t%s, accepted %s\n", j.ID, j.Kind, j.Arrived.Format(time.RFC3339Nano))
 	if j.Finished {
 		fmt.Fprintf(w, "took\t%.2f s\nworked\t%.2f s\n", j.Took.Seconds(), j.Worked.Seconds())
 	}
--- a/cmd/waxwinghaven/main.go
+++ b/cmd/waxwinghaven/main.go
@@ -1,5 +1,5 @@
-// Command waxwinghaven is the operators' command line, with the development
-// instance, the stand-ins and the load tool.
+// Command waxwinghaven is the operators' command-line tool. It also runs the development
+// instance, the stand-ins and the load tools.
 package main
 
 import (
@@ -19,7 +19,7 @@
 // Exit codes.
 const (
 	exitFailed  = 1 // the command failed
-	exitRefused = 2 // the system or the settings refused it; the message tells why
+	exitRefused = 2 // the system refused the command or the settings are invalid
 )
 
 const help = `Operates waxwinghaven: settings, keys, markets, services, jobs, presets, tasks.
@@ -34,7 +34,7 @@
 
 Exit codes: 0 done, 1 failed, 2 refused (the message names the remedy).`
 
-// cli is what all commands share.
+// cli holds the flags that all commands share.
 type cli struct {
 	app  *kingpin.Application
 	to   *string
@@ -49,7 +49,7 @@
 	app.Version(version.String)
 	c := &cli{app: app,
 		to:   app.Flag("to", "Operator addresses of the control replicas, separated by commas.").Default("127.0.0.1:7102").Envar("WAXWINGHAVEN_TO").String(),
-		json: app.Flag("json", "Print JSON for programs.").Bool(),
+		json: app.Flag("json", "Print JSON instead of a table.").Bool(),
 		ca:   app.Flag("ca", "The authority's certificate, when the replicas use TLS.").Envar("WAXWINGHAVEN_CA").String(),
 		cert: app.Flag("cert", "The operator's certificate.").Envar("WAXWINGHAVEN_CERT").String(),
 		key:  app.Flag("key", "The operator's key.").Envar("WAXWINGHAVEN_KEY").String()}
@@ -82,7 +82,7 @@
 	return operator.NewClient(strings.Split(*c.to, ","), c.keys())
 }
 
-// show prints v as JSON, or as a table that rows fills.
+// show prints v as JSON with --json, else as a table that rows writes.
 func (c *cli) show(v any, rows func(w *tabwriter.Writer)) error {
 	if *c.json {
 		b, err := json.MarshalIndent(v, "", "  ")
--- a/cmd/waxwinghaven/market.go
+++ b/cmd/waxwinghaven/market.go
@@ -12,7 +12,7 @@
 	"github.com/waxwinghaven/waxwinghaven/operator"
 )
 
-// changeFlags let an operator send a change again, or insist on a base.
+// changeFlags let an operator send a change again under its id, or require a base revision.
 type changeFlags struct {
 	id   *string
 	base *int64
@@ -20,12 +20,12 @@
 
 func addChangeFlags(cmd *kingpin.CmdClause) changeFlags {
 	return changeFlags{
-		id:   cmd.Flag("change-id", "The change's id; send a lost change again under the same one.").String(),
-		base: cmd.Flag("base", "The revision that the change builds on; by default the present one.").Default("-1").Int64(),
+		id:   cmd.Flag("change-id", "The change's id; send a change with an unknown outcome again under the same id.").String(),
+		base: cmd.Flag("base", "The revision that the change is based on; by default the present one.").Default("-1").Int64(),
 	}
 }
 
-// send fills in id and base and sends the change.
+// send sets the change's id and base and sends it.
 func (c *cli) send(f changeFlags, ch market.Change) error {
 	client, err := c.client()
 	if err != nil {
@@ -51,14 +51,14 @@
 }
 
 func (c *cli) marketCommands() {
-	c.marketItself()
+	c.marketCommand()
 	c.teamCommands()
 	c.serviceCommands()
 	c.jobCommands()
 	c.presetCommands()
 }
 
-func (c *cli) marketItself() {
+func (c *cli) marketCommand() {
 	top := c.app.Command("market", "Makes, lists and retires markets.")
 	put := top.Command("put", "Makes a market.")
 	putName, putFlags := put.Arg("market", "Its name.").Required().String(), addChangeFlags(put)
@@ -131,7 +131,7 @@
 	})
 }
 
-// retireCommand adds "retire" for something inside a market.
+// retireCommand adds the command "retire" for a part of a market.
 func (c *cli) retireCommand(top *kingpin.CmdClause, what string, verb market.Verb) {
 	cmd := top.Command("retire", "Retires a "+what+".")
 	in, name := cmd.Arg("market", "The market.").Required().String(), cmd.Arg(what, "Its name.").Required().String()
@@ -149,10 +149,10 @@
 	put.Flag("host", "The Host header that selects it.").StringVar(&s.Host)
 	put.Flag("path-prefix", "The start of the path that selects it.").StringVar(&s.PathPrefix)
 	timeout := put.Flag("timeout", "The longest a request may take.").Default("5s").Duration()
-	retry := put.Flag("retry", "What may be sent twice after an unknown outcome: safe methods, or never.").Default("safe").Enum("safe", "never")
+	retry := put.Flag("retry", "Which requests may be retried after an unknown outcome: those with safe methods, or none.").Default("safe").Enum("safe", "never")
 	put.Flag("key-required", "Refuse non-idempotent requests without an Idempotency-Key.").BoolVar(&s.KeyRequired)
-	put.Flag("milli-cpu", "Processors kept for each upstream, in thousandths.").Int64Var(&s.MilliCPU)
-	put.Flag("memory-mb", "Memory kept for each upstream.").Int64Var(&s.MemoryMB)
+	put.Flag("milli-cpu", "Processors reserved for each upstream, in thousandths.").Int64Var(&s.MilliCPU)
+	put.Flag("memory-mb", "Memory reserved for each upstream.").Int64Var(&s.MemoryMB)
 	f := addChangeFlags(put)
 	put.Action(func(*kingpin.ParseContext) error {
 		s.TimeoutMS, s.Retry = timeout.Milliseconds(), market.RetryRule(*retry)
@@ -167,13 +167,13 @@
 	j, in := &market.Job{}, put.Arg("market", "The market.").Required().String()
 	put.Arg("job", "Its name.").Required().StringVar(&j.Name)
 	put.Flag("team", "The team whose quota it uses.").Required().StringVar(&j.Team)
-	class := put.Flag("class", "Whether its tasks end by themselves.").Default("batch").Enum("batch", "continuous")
+	class := put.Flag("class", "batch if its tasks end by themselves, else continuous.").Default("batch").Enum("batch", "continuous")
 	put.Flag("milli-cpu", "Processors of one task, in thousandths.").Required().Int64Var(&j.MilliCPU)
 	put.Flag("memory-mb", "Memory of one task.").Int64Var(&j.MemoryMB)
 	put.Flag("accelerators", "Accelerators of one task.").Int64Var(&j.Accelerators)
-	runTime := put.Flag("run-time", "How long one task runs, as far as known.").Required().Duration()
-	deadline := put.Flag("deadline", "From submission to the latest end; 0 for none.").Default("0s").Duration()
-	put.Flag("urgent", "Start before all others, if need be in their place.").BoolVar(&j.Urgent)
+	runTime := put.Flag("run-time", "The expected run time of one task.").Required().Duration()
+	deadline := put.Flag("deadline", "Time from submission until the tasks must have ended; 0 for none.").Default("0s").Duration()
+	put.Flag("urgent", "Start before all other tasks, preempting them if necessary.").BoolVar(&j.Urgent)
 	put.Flag("max-failures", "Failed attempts after which a task is set aside; 0 for 3.").IntVar(&j.MaxFailures)
 	f := addChangeFlags(put)
 	put.Action(func(*kingpin.ParseContext) error {
@@ -191,9 +191,9 @@
 	d := market.DefaultPreset
 	put.Flag("tail-weight", "Weight of tail latency against batch throughput, 0 to 1.").Default(fmt.Sprint(d.TailWeight)).Float64Var(&p.TailWeight)
 	put.Flag("batch-share", "Part of the processors that batch may use, 0 to 1.").Default(fmt.Sprint(d.BatchShare)).Float64Var(&p.BatchShare)
-	put.Flag("max-slowdown", "Latency relative to running alone above which batch gives way.").Default(fmt.Sprint(d.MaxSlowdown)).Float64Var(&p.MaxSlowdown)
-	put.Flag("explore", "Try pairs of which nothing is known.").BoolVar(&p.Explore)
-	cutOff := put.Flag("cut-off", "What entries do when they cannot know what is in force.").Default("serve").Enum("serve", "refuse")
+	put.Flag("max-slowdown", "Latency relative to running alone above which batch tasks are throttled or moved.").Default(fmt.Sprint(d.MaxSlowdown)).Float64Var(&p.MaxSlowdown)
+	put.Flag("explore", "Try pairs of services and jobs without measurements.").BoolVar(&p.Explore)
+	cutOff := put.Flag("cut-off", "What entries do with requests while cut off from the control replicas.").Default("serve").Enum("serve", "refuse")
 	f := addChangeFlags(put)
 	put.Action(func(*kingpin.ParseContext) error {
 		p.CutOff = market.CutOffRule(*cutOff)
@@ -201,7 +201,7 @@
 	})
 	use := top.Command("use", "Puts a preset in force.")
 	useIn, useName, useFlags := use.Arg("market", "The market.").Required().String(), use.Arg("preset", "Its name.").Required().String(), addChangeFlags(use)
-	wait := use.Flag("wait", "Wait until it is in force everywhere, at most so long.").Default("0s").Duration()
+	wait := use.Flag("wait", "Wait until it is in force everywhere, at most this long.").Default("0s").Duration()
 	use.Action(func(*kingpin.ParseContext) error {
 		if err := c.send(useFlags, market.Change{Verb: market.UsePreset, Market: *useIn, Name: *useName}); err != nil {
 			return err
@@ -211,7 +211,7 @@
 	c.retireCommand(top, "preset", market.RetirePreset)
 }
 
-// waitInForce waits until every instance heard of lately has the newest revision.
+// waitInForce waits until every responsive instance has the newest revision.
 func (c *cli) waitInForce(most time.Duration) error {
 	if most == 0 {
 		return nil
--- a/cmd/waxwinghaven/scale.go
+++ b/cmd/waxwinghaven/scale.go
@@ -18,7 +18,7 @@
 	"github.com/waxwinghaven/waxwinghaven/standin"
 )
 
-// scaleRun measures what many agents and tasks cost three control replicas.
+// scaleRun measures the load that many agents and tasks put on the control replicas.
 type scaleRun struct {
 	controls, pids string
 	count, tasks   int
@@ -26,10 +26,10 @@
 }
 
 func (c *cli) scaleCommand() {
-	cmd := c.app.Command("scale", "Measures what many small agents, their tasks and changes cost the control.")
+	cmd := c.app.Command("scale", "Measures the load that many small agents, their tasks and changes put on the control.")
 	r := scaleRun{}
 	cmd.Flag("controls", "Internal addresses of the replicas, separated by commas.").Required().StringVar(&r.controls)
-	cmd.Flag("pids", "Their processes, to read processor time and memory of.").Required().StringVar(&r.pids)
+	cmd.Flag("pids", "Their process ids, separated by commas, to read processor time and memory.").Required().StringVar(&r.pids)
 	cmd.Flag("agents", "How many agents.").Default("200").IntVar(&r.count)
 	cmd.Flag("tasks", "Tasks that each agent holds.").Default("30").IntVar(&r.tasks)
 	cmd.Flag("window", "How long each measurement lasts.").Default("8s").DurationVar(&r.window)
@@ -62,15 +62,15 @@
 	return r.churn(client, agents)
 }
 
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 func waitUntil(what string, ok func() bool) error {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return nil
 		}
 	}
-	return fmt.Errorf("scale: never: %s", what)
+	return fmt.Errorf("scale: timed out waiting until %s", what)
 }
 
 func (r scaleRun) prepare(client *operator.Client, agents *standin.Agents) error {
@@ -132,7 +132,7 @@
 // churn starts short tasks at a steady rate and measures.
 func (r scaleRun) churn(client *operator.Client, agents *standin.Agents) error {
 	stop, done := make(chan struct{}), make(chan error, 1)
-	rate := r.count // starts a second: 15 an agent a minute
+	rate := r.count // starts per second, one for each agent
 	go func() {
 		for {
 			select {
@@ -153,7 +153,7 @@
 	return <-done
 }
 
-// usage is a process's figures at one time.
+// usage is the resource usage of a process.
 type usage struct {
 	cpu   float64 // seconds
 	rssMB float64
@@ -170,8 +170,7 @@
 	return usage{(number(11) + number(12)) / ticksPerSecond, number(21) * pageMB}
 }
 
-// measure prints the replicas' cost over a window, the busiest first: that is
-// the leader.
+// measure prints the replicas' usage over a window, the busiest first, which is the leader.
 func (r scaleRun) measure(what string, agents *standin.Agents) {
 	pids := strings.Split(r.pids, ",")
 	before := make([]usage, len(pids))
--- a/cmd/waxwinghaven/task.go
+++ b/cmd/waxwinghaven/task.go
@@ -20,7 +20,7 @@
 	list.Flag("market", "Only of this market.").StringVar(&q.Market)
 	list.Flag("job", "Only of this job.").StringVar(&q.Job)
 	list.Flag("phase", "Only in this phase.").EnumVar(&q.Phase, "waiting", "placed", "stopping", "done", "set-aside", "cancelled")
-	list.Flag("limit", "At most so many.").Default("100").IntVar(&q.Limit)
+	list.Flag("limit", "At most this many.").Default("100").IntVar(&q.Limit)
 	list.Action(func(*kingpin.ParseContext) error { return c.listTasks(q) })
 }
 
@@ -30,9 +30,9 @@
 	cmd.Arg("market", "The market.").Required().StringVar(&s.Market)
 	cmd.Arg("job", "The job.").Required().StringVar(&s.Job)
 	cmd.Flag("count", "How many.").Default("1").IntVar(&s.Count)
-	cmd.Flag("id", "The submission's id; send a lost one again under the same id and time.").StringVar(&s.ID)
-	cmd.Flag("issued-ms", "When it was first made, in milliseconds since 1970; by default now.").Int64Var(&s.IssuedMS)
-	wait := cmd.Flag("wait", "Wait until all are over, at most so long.").Default("0s").Duration()
+	cmd.Flag("id", "The submission's id; send one with an unknown outcome again under the same id and time.").StringVar(&s.ID)
+	cmd.Flag("issued-ms", "When it was first sent, in milliseconds since 1970; by default now.").Int64Var(&s.IssuedMS)
+	wait := cmd.Flag("wait", "Wait until all have ended, at most this long.").Default("0s").Duration()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		if s.ID == "" {
 			s.ID = operator.NewID()
@@ -57,10 +57,10 @@
 	if err != nil || wait == 0 {
 		return err
 	}
-	return c.waitOver(client, s, wait)
+	return c.waitFinished(client, s, wait)
 }
 
-func (c *cli) waitOver(client *operator.Client, s lease.Submit, most time.Duration) error {
+func (c *cli) waitFinished(client *operator.Client, s lease.Submit, most time.Duration) error {
 	deadline := time.Now().Add(most)
 	for time.Now().Before(deadline) {
 		tasks, err := client.Tasks(operator.TaskQuery{ID: s.ID, Limit: s.Count})
@@ -68,14 +68,14 @@
 			return err
 		}
 		phases := make(map[lease.Phase]int)
-		over := 0
+		finished := 0
 		for _, t := range tasks {
 			phases[t.Phase]++
 			if t.Over() {
-				over++
+				finished++
 			}
 		}
-		if over == s.Count {
+		if finished == s.Count {
 			fmt.Printf("over: %v\n", phases)
 			if phases[lease.Done] < s.Count {
 				return fmt.Errorf("only %d of %d tasks are done; see 'waxwinghaven task list --id %s'", phases[lease.Done], s.Count, s.ID)
--- a/cmd/waxwinghaven/wave.go
+++ b/cmd/waxwinghaven/wave.go
@@ -10,14 +10,14 @@
 	"github.com/waxwinghaven/waxwinghaven/upkeep"
 )
 
-// waveCommands are about the machines below the workers and their upkeep.
+// waveCommands adds the commands for the machines that host the workers and their upkeep.
 func (c *cli) waveCommands() {
-	machines := c.app.Command("machines", "Lists and moves the machines below the workers.")
+	machines := c.app.Command("machines", "Lists and moves the machines that host the workers.")
 	machines.Command("list", "Lists them.").Action(func(*kingpin.ParseContext) error { return c.listMachines() })
-	move := machines.Command("move", "Puts a machine into another pool; everything on it ends.")
+	move := machines.Command("move", "Moves a machine to another pool; everything on it ends.")
 	m := control.MachineMove{}
 	move.Arg("machine", "Its name, as the list has it.").Required().StringVar(&m.Machine)
-	move.Arg("pool", "The service whose workers it is to make.").Required().StringVar(&m.Pool)
+	move.Arg("pool", "The service whose workers it is to host.").Required().StringVar(&m.Pool)
 	move.Action(func(*kingpin.ParseContext) error {
 		client, err := c.client()
 		if err != nil {
@@ -29,7 +29,7 @@
 	top := c.app.Command("wave", "Starts and lists waves of upkeep.")
 	start := top.Command("start", "Asks for the upkeep of machines, each once; sent again it stays one wave.\n\nExample: waxwinghaven wave start 7 m-0a3f1 m-141e8 --within 10m --at-once 1")
 	w := upkeep.Wave{}
-	start.Arg("number", "The wave's number, its own.").Required().Uint64Var(&w.Number)
+	start.Arg("number", "The wave's number, unique among waves.").Required().Uint64Var(&w.Number)
 	start.Arg("machines", "The machines' names, as `machines list` has them.").Required().StringsVar(&w.Machines)
 	within := start.Flag("within", "How long the wave may take.").Default("10m").Duration()
 	start.Flag("at-once", "How many may be down at once.").Default("1").IntVar(&w.MaxConcurrent)
--- a/cmd/waxwinghavend/main.go
+++ b/cmd/waxwinghavend/main.go
@@ -1,4 +1,4 @@
-// Command waxwinghavend runs the roles that its settings file asks for.
+// Command waxwinghavend runs the roles that its settings file configures.
 package main
 
 import (
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	app := kingpin.New("waxwinghavend", "Runs the roles of one instance: entry, agent, control.\n\nExample: waxwinghavend --settings /etc/waxwinghaven/entry-1.toml\n\nExit codes: 0 ended as asked, 1 a role failed, 2 settings refused, 3 ended at once by a second signal.")
+	app := kingpin.New("waxwinghavend", "Runs the roles of one instance: entry, agent, control.\n\nExample: waxwinghavend --settings /etc/waxwinghaven/entry-1.toml\n\nExit codes: 0 shut down on a signal, 1 a role failed, 2 settings refused, 3 forced to exit by a second signal.")
 	app.Version(version.String)
 	path := app.Flag("settings", "The TOML settings file.").Required().ExistingFile()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole system in one process: a control replica, an entry,
+// Package dev runs a complete system in one process: a control replica, an entry,
 // an agent and a stand-in upstream with a worker. It is the quickest way to try
-// the system, and what the README starts.
+// the system, and the one that the README uses.
 package dev
 
 import (
@@ -27,15 +27,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options of the development instance.
+// Options configure the development instance.
 type Options struct {
 	IP     string
-	Port   int    // the first of eight
+	Port   int    // base port; the system uses the eight that follow it
 	Folder string // data folder, empty for a temporary one
-	Try    bool
+	Try    bool   // send requests, tasks and a job, check their outcome and exit
 }
 
-// Ports, counted from the first.
+// Ports as offsets from Options.Port.
 const (
 	portControl = iota + 1
 	portOperator
@@ -88,8 +88,7 @@
 		Capacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, RunsCapacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, Work: time.Millisecond, Every: 200 * time.Millisecond})
 }
 
-// Run runs the system until a signal ends it, or, with Try, until it has been
-// tried.
+// Run runs the system until a signal ends it or, with Try, until the trial has ended.
 func Run(o Options) error {
 	if o.Folder == "" {
 		dir, err := os.MkdirTemp("", "waxwinghaven-dev-")
@@ -107,19 +106,19 @@
 	ctx, cancel := context.WithCancel(daemon.SignalContext())
 	defer cancel()
 	up := o.upstream()
-	upCtx, upstreamEnd := context.WithCancel(context.Background())
+	upCtx, stopUpstream := context.WithCancel(context.Background())
 	g, gctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
-		defer upstreamEnd() // after the agent has drained
+		defer stopUpstream() // only after the agent has drained
 		return daemon.Run(gctx, set)
 	})
 	g.Go(func() error { return up.Run(upCtx) })
-	g.Go(func() error { return o.use(gctx, cancel) })
+	g.Go(func() error { return o.demo(gctx, cancel) })
 	return g.Wait()
 }
 
-// use prepares a market and prints what to do with it, or tries it.
-func (o Options) use(ctx context.Context, cancel func()) error {
+// demo prepares a market, then prints commands to try or, with Try, runs the trial.
+func (o Options) demo(ctx context.Context, cancel func()) error {
 	client, err := operator.NewClient([]string{o.address(portOperator)}, nil)
 	if err != nil {
 		return err
@@ -128,14 +127,14 @@
 		return err
 	}
 	if !o.Try {
-		fmt.Printf(hint, o.address(portEntry), o.address(portOperator))
+		fmt.Printf(usage, o.address(portEntry), o.address(portOperator))
 		return nil
 	}
 	defer cancel()
 	return o.try(client)
 }
 
-const hint = `A whole system runs in this process. Try, in another terminal:
+const usage = `A whole system runs in this process. Try, in another terminal:
 
   a caller     curl -i http://%[1]s/hello
   an operator  go run ./cmd/waxwinghaven --to %[2]s status
@@ -146,7 +145,7 @@
 End it with Ctrl-C.
 `
 
-// startWait bounds the wait for the process's own parts to come up.
+// startWait bounds the wait for the parts of the system to start, and for tasks to be done.
 const startWait = 15 * time.Second
 
 func (o Options) prepare(ctx context.Context, client *operator.Client) error {
@@ -164,7 +163,7 @@
 	return nil
 }
 
-// Prepare makes the demo market. It can be repeated.
+// Prepare creates the demo market. It is idempotent.
 func Prepare(client *operator.Client) error {
 	statuses, _ := client.Statuses()
 	if len(statuses) == 0 {
@@ -194,7 +193,7 @@
 	return client.PutQueues(demoQueues)
 }
 
-// demoQueues has one queue for callers' jobs, on the demo's only service.
+// demoQueues defines one queue for callers' jobs, on the only service of the demo market.
 var demoQueues = queues.Config{Version: 1, Services: []queues.Service{{Name: "hello"}}, Queues: []queues.Queue{
 	{Name: "graphs", Host: "localhost", Prefix: "/graphs/", Service: "hello", TimeoutMS: 3000, TargetMS: 1000, Slack: 2, MaxAttempts: 3}}}
 
@@ -238,7 +237,7 @@
 	return fmt.Errorf("the tasks were not done in %v", startWait)
 }
 
-// tryGraph hands in a job of two steps, of which one task fails once.
+// tryGraph submits a job of two steps, each of whose tasks fails once, and waits for its completion.
 func tryGraph(client *operator.Client, deadline time.Time) error {
 	id := fmt.Sprintf("%016x", rand.Uint64())
 	need := resource.Vector{MilliCPU: 500, MemoryMB: 100}
--- a/losses/account.go
+++ b/losses/account.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind is what a job asks for.
+// Kind is the kind of a job's tasks.
 type Kind string
 
 // The kinds.
@@ -20,27 +20,27 @@
 
 // Causes of lost time.
 const (
-	CauseWaiting = "waiting for a place" // ready, and not started
-	CausePaced   = "slowed"              // at less than full pace, as time of full pace
-	CauseRedone  = "done again"          // runs that were stopped, failed or lapsed
-	CauseAway    = "not at work"         // a standing task between two runs
-	CauseAlone   = "over target, nothing beside"
-	causeOver    = "over target, beside " // and the image at work there
+	CauseWaiting     = "waiting for a place" // ready, but not started
+	CausePaced       = "slowed"              // by reduced pace, as time at full pace
+	CauseRedone      = "done again"          // in runs that were stopped, failed or lapsed
+	CauseUnavailable = "not at work"         // of a standing task, between two runs
+	CauseOverAlone   = "over target, nothing beside"
+	causeOverBeside  = "over target, beside " // followed by the image that ran on the same worker
 )
 
-// Job is the account of one job, in task-seconds for a standing one, else in seconds on its
-// critical path: of each step, the task that ended last.
+// Job is the account of one job: in task-seconds for a standing job, else in seconds on its
+// critical path, which consists of the task of each step that ended last.
 type Job struct {
 	ID       string
 	Kind     Kind
 	Arrived  time.Time
-	Took     time.Duration // to the last end, 0 for a standing or unfinished one
-	Worked   time.Duration // at full pace, on the critical path
+	Took     time.Duration // from arrival to the last end, 0 for a standing or unfinished job
+	Worked   time.Duration // on the critical path, as time at full pace
 	Lost     map[string]time.Duration
 	Finished bool
 }
 
-// Total returns all that the job lost.
+// Total returns the job's lost time over all causes.
 func (j *Job) Total() time.Duration {
 	sum := time.Duration(0)
 	for _, d := range j.Lost {
@@ -49,20 +49,21 @@
 	return sum
 }
 
-// Account is what a log tells of all jobs.
+// Account holds the accounts of all jobs in a log.
 type Account struct {
 	Jobs []*Job // by arrival
-	// Path is what the way from a call to its tasks' ends took, by kind and stage.
+	// Path holds the latencies from a call to its tasks' ends, by kind and stage.
 	Path Path
-	// Over is the task-seconds over target, by two seconds from the first line.
-	Over  map[int]time.Duration
-	Begun time.Time
+	// OverTarget is the time over target, summed over tasks, by the number of the Window
+	// counted from the first line.
+	OverTarget map[int]time.Duration
+	Start      time.Time
 }
 
 // span is one run of a task.
 type span struct {
 	from, to time.Time
-	how      string
+	outcome  string
 	paces    []pacePoint
 }
 
@@ -71,81 +72,81 @@
 	percent int
 }
 
-// spellKey is the served tasks of one job and image on one worker.
-type spellKey struct{ worker, job, image string }
+// violationKey identifies a serving group: the served tasks of one job and image on one worker.
+type violationKey struct{ worker, job, image string }
 
-// collector gathers what belongs together from the lines.
+// collector gathers the lines of jobs and runs.
 type collector struct {
 	jobs  map[string]*Job
-	runs  map[string][]*span // by task
-	open  map[spellKey]line  // spells that have begun and not ended
+	runs  map[string][]*span    // by task
+	open  map[violationKey]line // violations of the target that have begun and not ended
 	out   *Account
 	tasks map[string][]string // of a job, in order of their first start
 }
 
-// Window is the span by which time over target is summed up.
+// Window is the interval by which time over target is summed.
 const Window = 2 * time.Second
 
 // Accounts returns the account of a log.
 func (l *Log) Accounts() *Account {
 	lines := l.sorted()
-	c := &collector{jobs: make(map[string]*Job), runs: make(map[string][]*span), open: make(map[spellKey]line),
-		tasks: make(map[string][]string), out: &Account{Over: make(map[int]time.Duration), Path: make(Path)}}
+	c := &collector{jobs: make(map[string]*Job), runs: make(map[string][]*span), open: make(map[violationKey]line),
+		tasks: make(map[string][]string), out: &Account{OverTarget: make(map[int]time.Duration), Path: make(Path)}}
 	if len(lines) == 0 {
 		return c.out
 	}
-	c.out.Begun = lines[0].Time
+	c.out.Start = lines[0].Time
 	for i := range lines {
-		c.take(&lines[i])
+		c.addLine(&lines[i])
 	}
 	end := lines[len(lines)-1].Time
 	for key, s := range c.open {
-		c.closeSpell(key, earliest(end, s.Time.Add(untoldSpell)))
+		c.closeViolation(key, earliest(end, s.Time.Add(unclosedLimit)))
 	}
 	for _, j := range c.jobs {
-		c.settle(j)
+		c.accountJob(j)
 		c.out.Jobs = append(c.out.Jobs, j)
 	}
 	slices.SortFunc(c.out.Jobs, func(a, b *Job) int { return cmp.Or(a.Arrived.Compare(b.Arrived), strings.Compare(a.ID, b.ID)) })
 	return c.out
 }
 
-func (c *collector) take(x *line) {
+func (c *collector) addLine(x *line) {
 	switch x.Message {
-	case tookJob:
+	case msgJobAccepted:
 		id := jobOf(x.Job)
 		if c.jobs[id] == nil {
 			c.jobs[id] = &Job{ID: id, Kind: kindOf(x.Steps), Arrived: x.Time, Lost: make(map[string]time.Duration)}
-			c.out.Path.took(c.jobs[id].Kind, x)
+			c.out.Path.addCommit(c.jobs[id].Kind, x)
 		}
-	case started:
+	case msgRunStarted:
 		task := string(x.Task)
 		if len(c.runs[task]) == 0 {
 			c.tasks[jobOf(task)] = append(c.tasks[jobOf(task)], task)
 		}
 		c.runs[task] = append(c.runs[task], &span{from: x.Time})
 		if j := c.jobs[jobOf(task)]; j != nil {
-			c.out.Path.started(j.Kind, x)
+			c.out.Path.addStart(j.Kind, x)
 		}
-	case ended:
+	case msgRunEnded:
 		if s := c.running(string(x.Task)); s != nil {
-			s.to, s.how = x.Time, x.How
-			if j := c.jobs[jobOf(string(x.Task))]; j != nil && s.how == "done" {
+			s.to, s.outcome = x.Time, x.How
+			if j := c.jobs[jobOf(string(x.Task))]; j != nil && s.outcome == "done" {
 				c.out.Path.add(j.Kind, StageWork, s.to.Sub(s.from))
 			}
 		}
-	case paced:
+	case msgPaceSet:
 		if s := c.running(string(x.Task)); s != nil {
 			s.paces = append(s.paces, pacePoint{x.Time, x.Percent})
 		}
-	case overBegan:
-		c.open[spellKey{x.Worker, x.Job, x.Image}] = *x
-	case overEnded:
-		c.closeSpell(spellKey{x.Worker, x.Job, x.Image}, x.Time)
+	case msgOverTarget:
+		c.open[violationKey{x.Worker, x.Job, x.Image}] = *x
+	case msgWithinTarget:
+		c.closeViolation(violationKey{x.Worker, x.Job, x.Image}, x.Time)
 	}
 }
 
-// running returns a task's run that has not ended, nil for none.
+// running returns the run of a task that has not ended, nil if there is none.
 func (c *collector) running(task string) *span {
 	list := c.runs[task]
 	if len(list) == 0 || !list[len(list)-1].to.IsZero() {
@@ -154,9 +155,9 @@
 	return list[len(list)-1]
 }
 
-// untoldSpell is how long a spell counts whose end no line tells, since the process that
-// would have told is gone: filling runs are stopped after a second.
-const untoldSpell = time.Second
+// unclosedLimit is how long a violation counts whose end was not logged because the process
+// died: the filling runs beside it are stopped a second later.
+const unclosedLimit = time.Second
 
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
@@ -165,8 +166,9 @@
 	return b
 }
 
-// closeSpell ends an open spell of a job's tasks over their target.
-func (c *collector) closeSpell(key spellKey, at time.Time) {
+// closeViolation ends the open violation of a serving group, if there is one, and accounts
+// for it.
+func (c *collector) closeViolation(key violationKey, at time.Time) {
 	s, open := c.open[key]
 	if !open {
 		return
@@ -174,18 +176,18 @@
 	delete(c.open, key)
 	tasks := time.Duration(max(s.Runs, 1))
 	for from := s.Time; from.Before(at); {
-		w := int(from.Sub(c.out.Begun) / Window)
-		to := earliest(at, c.out.Begun.Add(time.Duration(w+1)*Window))
-		c.out.Over[w] += tasks * to.Sub(from)
+		w := int(from.Sub(c.out.Start) / Window)
+		to := earliest(at, c.out.Start.Add(time.Duration(w+1)*Window))
+		c.out.OverTarget[w] += tasks * to.Sub(from)
 		from = to
 	}
 	j := c.jobs[key.job]
 	if j == nil {
 		return
 	}
-	cause := CauseAlone
+	cause := CauseOverAlone
 	if s.Beside != "" {
-		cause = causeOver + s.Beside
+		cause = causeOverBeside + s.Beside
 	}
 	j.Lost[cause] += tasks * at.Sub(s.Time)
 }
@@ -200,10 +202,10 @@
 	return Other
 }
 
-// settle adds up where a job's time went.
-func (c *collector) settle(j *Job) {
+// accountJob attributes a job's time to its causes.
+func (c *collector) accountJob(j *Job) {
 	if j.Kind == Standing {
-		c.settleStanding(j)
+		c.accountStanding(j)
 		return
 	}
 	ready := j.Arrived
@@ -215,7 +217,7 @@
 			j.Finished = false
 			return
 		}
-		c.settleTask(j, ready, c.runs[task])
+		c.accountTask(j, ready, c.runs[task])
 		if end.After(ready) {
 			ready = end
 		}
@@ -236,11 +238,11 @@
 	return out
 }
 
-// last returns the task that ended last, and whether all have ended done.
+// last returns the task that ended last, and whether all tasks were done.
 func (c *collector) last(tasks []string) (end time.Time, task string, done bool) {
 	for _, t := range tasks {
 		r := c.runs[t][len(c.runs[t])-1]
-		if r.to.IsZero() || r.how != "done" {
+		if r.to.IsZero() || r.outcome != "done" {
 			return time.Time{}, "", false
 		}
 		if r.to.After(end) {
@@ -250,8 +252,9 @@
 	return end, task, true
 }
 
-// settleTask adds the way of one task, ready at a time, to its job's account.
-func (c *collector) settleTask(j *Job, ready time.Time, runs []*span) {
+// accountTask adds the runs of one task, which was ready at the given time, to its job's
+// account.
+func (c *collector) accountTask(j *Job, ready time.Time, runs []*span) {
 	for _, r := range runs {
 		if r.from.After(ready) {
 			j.Lost[CauseWaiting] += r.from.Sub(ready)
@@ -261,7 +264,7 @@
 		}
 		slowed := r.slowed()
 		j.Lost[CausePaced] += slowed
-		if r.how == "done" {
+		if r.outcome == "done" {
 			j.Worked += r.to.Sub(r.from) - slowed
 		} else {
 			j.Lost[CauseRedone] += r.to.Sub(r.from) - slowed
@@ -270,7 +273,7 @@
 	}
 }
 
-// slowed returns the work that a run's paces cost, as time at full pace.
+// slowed returns the time that a run lost to reduced pace, as time at full pace.
 func (s *span) slowed() time.Duration {
 	const full = 100
 	lost, percent, from := time.Duration(0), full, s.from
@@ -281,8 +284,9 @@
 	return lost
 }
 
-// settleStanding adds up how long a standing job's tasks were not at work between two runs.
-func (c *collector) settleStanding(j *Job) {
+// accountStanding adds the time that a standing job's tasks waited for their first run, and
+// that they were unavailable between runs.
+func (c *collector) accountStanding(j *Job) {
 	for _, task := range c.tasks[j.ID] {
 		runs := c.runs[task]
 		if first := runs[0].from.Sub(j.Arrived); first > 0 {
@@ -290,13 +294,13 @@
 		}
 		for i := 1; i < len(runs); i++ {
 			if gap := runs[i].from.Sub(runs[i-1].to); !runs[i-1].to.IsZero() && gap > 0 {
-				j.Lost[CauseAway] += gap
+				j.Lost[CauseUnavailable] += gap
 			}
 		}
 	}
 }
 
-// Sum is what one cause cost the jobs of a kind.
+// Sum is the time that jobs of one kind lost to one cause.
 type Sum struct {
 	Kind  Kind
 	Cause string
@@ -304,7 +308,7 @@
 	Jobs  int
 }
 
-// Sums returns what was lost by kind and cause, the dearest first.
+// Sums returns the time lost by kind and cause, the largest first.
 func (a *Account) Sums() []Sum {
 	type key struct {
 		kind  Kind
@@ -334,7 +338,7 @@
 	return out
 }
 
-// Job returns one job's account, nil if the log has not its arrival.
+// Job returns one job's account, nil if the log has no line for its acceptance.
 func (a *Account) Job(id string) *Job {
 	i := slices.IndexFunc(a.Jobs, func(j *Job) bool { return j.ID == id })
 	if i < 0 {
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// at is a log line's time, in milliseconds from the day's first.
+// at formats the time of a log line, given in milliseconds after a fixed start.
 func at(ms int) string {
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(ms) * time.Millisecond).Format(time.RFC3339Nano)
 }
@@ -21,7 +21,7 @@
 	return l.Accounts()
 }
 
-func took(ms int, job, steps string) string {
+func jobAccepted(ms int, job, steps string) string {
 	return fmt.Sprintf(`{"msg":"control: Took a job in.","job":"/q/%s","steps":%q,"time":%q}`, job, steps, at(ms))
 }
 
@@ -42,18 +42,18 @@
 	}
 }
 
-// The way of a look-up of two steps. The first waits 40 ms for a place: 60 until the worker
-// has answered, less 12 at the agent and 8 for the decision's commit. A retry has no way of its
-// own, and a line of a process that doesn't tell is passed over.
-func TestTheWayOfACallIsToldByStage(t *testing.T) {
-	way := func(waited, decided, asked int, after bool) string {
+// A job of two steps. The first step waits 40 ms for a place: 60 ms until the worker has
+// answered, less 12 at the agent and 8 for the commit of the decision. A retry counts in the
+// stages of all runs only, and a line without these fields is ignored.
+func TestCallLatencyIsSplitByStage(t *testing.T) {
+	stages := func(waited, decided, asked int, after bool) string {
 		return fmt.Sprintf(`,"waited_ms":%d,"decided_ms":%d,"asked_ms":%d,"after_step":%v`, waited, decided, asked, after)
 	}
 	a := read(t,
 		fmt.Sprintf(`{"msg":"control: Took a job in.","job":"/q/aa","steps":"1x300m, 1x300m after[0]","took_ms":9,"time":%q}`, at(9)),
-		run(60, "Started a run.", "aa.0.0.0", 1, way(60, 8, 12, false)), end(500, "aa.0.0.0", 1, "failed"),
-		run(520, "Started a run.", "aa.0.0.0", 2, way(0, 8, 5, false)), end(1020, "aa.0.0.0", 2, "done"),
-		run(1050, "Started a run.", "aa.0.1.0", 1, way(30, 7, 3, true)), end(1450, "aa.0.1.0", 1, "done"),
+		run(60, "Started a run.", "aa.0.0.0", 1, stages(60, 8, 12, false)), end(500, "aa.0.0.0", 1, "failed"),
+		run(520, "Started a run.", "aa.0.0.0", 2, stages(0, 8, 5, false)), end(1020, "aa.0.0.0", 2, "done"),
+		run(1050, "Started a run.", "aa.0.1.0", 1, stages(30, 7, 3, true)), end(1450, "aa.0.1.0", 1, "done"),
 		start(1500, "aa.0.1.0", 2))
 	for _, c := range []struct {
 		stage Stage
@@ -74,11 +74,12 @@
 	}
 }
 
-// A render of two steps. Its first step's slower task waits half a second, is stopped after
-// one, waits again and works two, one of them at half pace. The second step waits a second.
-func TestARendersTimeIsAccountedOnItsCriticalPath(t *testing.T) {
+// A filling job of two steps. The slower task of the first step waits half a second, is stopped
+// after one second, waits again and runs for two, one of them at half pace. The second step
+// waits a second. The parts must add up to the time from the job's arrival to its end.
+func TestFillingJobTimeIsAccountedOnItsCriticalPath(t *testing.T) {
 	a := read(t,
-		took(0, "aa", "2x7000m fills image=x, 1x7000m fills image=x after[0]"),
+		jobAccepted(0, "aa", "2x7000m fills image=x, 1x7000m fills image=x after[0]"),
 		start(100, "aa.0.0.0", 1), end(900, "aa.0.0.0", 1, "done"),
 		start(500, "aa.0.0.1", 1), end(1500, "aa.0.0.1", 1, "stopped"),
 		start(1750, "aa.0.0.1", 2),
@@ -100,39 +101,40 @@
 	}
 }
 
-// Two of a watcher's tasks are over their target beside a render for three seconds, across
-// the border of two windows, and a third one's worker is lost for two.
-func TestAWatchersTimeOverTargetIsLaidToWhatWasBeside(t *testing.T) {
+// Two standing tasks are over their target beside an image for three seconds, across the
+// border of two windows, and the worker of a third is lost for two seconds.
+func TestTimeOverTargetIsAttributedToTheImageBeside(t *testing.T) {
 	over := func(ms int, what, beside string) string {
 		return fmt.Sprintf(`{"msg":"runner: Served tasks are %s","job":"bb","image":"watch","runs":2,"beside":%q,"time":%q}`, what, beside, at(ms))
 	}
 	a := read(t,
-		took(0, "bb", "3x9000m standing image=watch target=50ms"),
+		jobAccepted(0, "bb", "3x9000m standing image=watch target=50ms"),
 		start(0, "bb.0.0.0", 1), start(0, "bb.0.0.1", 1), start(0, "bb.0.0.2", 1),
 		over(1000, "over their target.", "x"), over(4000, "within their target again.", "x"),
 		end(5000, "bb.0.0.2", 1, "lapsed"), start(7000, "bb.0.0.2", 2))
 	j := a.Job("bb")
-	wantLost(t, j, causeOver+"x", 6*time.Second)
-	wantLost(t, j, CauseAway, 2*time.Second)
-	if a.Over[0] != 2*time.Second || a.Over[1] != 4*time.Second {
-		t.Errorf("by windows %v", a.Over)
+	wantLost(t, j, causeOverBeside+"x", 6*time.Second)
+	wantLost(t, j, CauseUnavailable, 2*time.Second)
+	if a.OverTarget[0] != 2*time.Second || a.OverTarget[1] != 4*time.Second {
+		t.Errorf("by windows %v", a.OverTarget)
 	}
 	sums := a.Sums()
-	if len(sums) != 2 || sums[0].Cause != causeOver+"x" || sums[0].Jobs != 1 {
+	if len(sums) != 2 || sums[0].Cause != causeOverBeside+"x" || sums[0].Jobs != 1 {
 		t.Errorf("the sums are %+v", sums)
 	}
 }
 
-// Collected logs have prefixes, lines of other programs and lines of several processes out
-// of order. A job that never ended counts as unfinished, and nothing is lost by reading on.
+// Collected logs have prefixes, lines of other programs, truncated lines, and lines of several
+// processes out of order. Reading must skip what is not a log line and keep the rest; a job
+// that never ended counts as unfinished.
 func TestLogsAreReadAsTheyAreCollected(t *testing.T) {
 	var l Log
 	text := strings.Join([]string{
 		"12.5 side-1 " + end(800, "cc.0.0.0", 1, "done"),
-		"12.5 core-1 " + took(0, "cc", "1x1000m"),
+		"12.5 core-1 " + jobAccepted(0, "cc", "1x1000m"),
 		"panic: nothing of ours", `{"msg":"cut`,
 		"12.5 side-1 " + start(300, "cc.0.0.0", 1),
-		"12.5 core-1 " + took(100, "dd", "1x1000m"),
+		"12.5 core-1 " + jobAccepted(100, "dd", "1x1000m"),
 		`{"msg":"control: Placed a copy of a run that takes long.","task":[1,2],"time":"` + at(400) + `"}`}, "\n")
 	if err := l.Read("collected", strings.NewReader(text)); err != nil {
 		t.Fatal(err)
@@ -152,22 +154,22 @@
 	}
 }
 
-// The agent beside a watcher dies while its tail is over the target: no line tells the end.
-// It must not count until the log's last line, and the same job's spell on another worker
-// is not ended for it.
-func TestASpellWhoseEndIsNotToldCountsShortly(t *testing.T) {
+// An agent dies while its served tasks are over their target, so the end of the violation is
+// not logged. It must not count until the last line of the log, and must not end with the same
+// job's violation on another worker.
+func TestViolationWithoutALoggedEndCountsBriefly(t *testing.T) {
 	over := func(ms int, worker, what string) string {
 		return fmt.Sprintf(`{"msg":"runner: Served tasks are %s","worker":%q,"job":"bb","image":"watch","runs":1,"beside":"x","time":%q}`, what, worker, at(ms))
 	}
-	a := read(t, took(0, "bb", "2x9000m standing image=watch target=50ms"),
+	a := read(t, jobAccepted(0, "bb", "2x9000m standing image=watch target=50ms"),
 		over(1000, "w1", "over their target."), over(2000, "w2", "over their target."),
-		over(4000, "w2", "within their target again."), took(60_000, "cc", "1x1000m"))
-	wantLost(t, a.Job("bb"), causeOver+"x", untoldSpell+2*time.Second)
+		over(4000, "w2", "within their target again."), jobAccepted(60_000, "cc", "1x1000m"))
+	wantLost(t, a.Job("bb"), causeOverBeside+"x", unclosedLimit+2*time.Second)
 }
 
-func TestALineOfEndlessLengthIsAnError(t *testing.T) {
+func TestOverlongLineIsAnError(t *testing.T) {
 	var l Log
-	err := l.Read("broken.log", strings.NewReader(strings.Repeat("x", longestLine+1)))
+	err := l.Read("broken.log", strings.NewReader(strings.Repeat("x", maxLineLength+1)))
 	if err == nil || !strings.Contains(err.Error(), "broken.log") {
 		t.Errorf("got %v", err)
 	}
@@ -176,10 +178,10 @@
 	}
 }
 
-// A job of eleven steps, one after the other. Taken by name the eleventh would come before
-// the third, and its wait be counted from the second step's end.
+// A job of eleven consecutive steps. Sorted as text the eleventh would come before the third,
+// and its wait would count from the end of the second.
 func TestStepsAreAccountedInTheirOrder(t *testing.T) {
-	lines := []string{took(0, "ff", "1x1000m")}
+	lines := []string{jobAccepted(0, "ff", "1x1000m")}
 	for i := range 11 {
 		task := fmt.Sprintf("ff.0.%d.0", i)
 		lines = append(lines, start(i*1000+100, task, 1), end((i+1)*1000, task, 1, "done"))
--- a/losses/parse.go
+++ b/losses/parse.go
@@ -1,9 +1,9 @@
-// Package losses accounts for service that was lost, from the structured logs of the
-// processes: for standing jobs the time over their target, by what was at work beside them,
-// and away; for the others where their time went.
+// Package losses accounts for lost service from the structured logs of the processes. For
+// standing jobs that is the time over their latency target, by the images that ran on the same
+// worker, and the time that their tasks were not running; for other jobs, where their time went.
 //
-// It answers the on-call engineer's question "what does this day owe its callers, and why",
-// and is pure: it reads lines and returns tables.
+// It helps on-call engineers to find out which service was lost in a period, and why. It reads
+// log lines and returns tables, without side effects.
 package losses
 
 import (
@@ -23,7 +23,7 @@
 // Class groups the errors of this package.
 var Class = errs.Class("losses")
 
-// line is what the accounts need of one log line. Fields that a line lacks are zero.
+// line holds the fields of a log line that the accounts need; missing ones are zero.
 type line struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -37,7 +37,7 @@
 	Beside  string    `json:"beside"`
 	Runs    int       `json:"runs"`
 
-	// Of the way of a call, in milliseconds; see Path.
+	// Latencies of the stages of a call, in milliseconds; see Path.
 	TookMS    *int64 `json:"took_ms"`
 	WaitedMS  int64  `json:"waited_ms"`
 	DecidedMS int64  `json:"decided_ms"`
@@ -45,11 +45,11 @@
 	AfterStep bool   `json:"after_step"`
 }
 
-// taskName is a task's name. Some lines name several tasks by their indexes; they say
-// nothing that is accounted here.
+// taskName is a task's name. Some lines have a list of task indexes in the same field; they
+// are not accounted for here.
 type taskName string
 
-// UnmarshalJSON takes a string and skips anything else.
+// UnmarshalJSON decodes a string and ignores any other value.
 func (n *taskName) UnmarshalJSON(b []byte) error {
 	if len(b) == 0 || b[0] != '"' {
 		return nil
@@ -57,32 +57,33 @@
 	return json.Unmarshal(b, (*string)(n))
 }
 
-// Messages of the lines that are accounted, as the processes write them.
+// Messages of the log lines that are accounted for; they must match those that the processes
+// log.
 const (
-	tookJob   = "control: Took a job in."
-	started   = "runner: Started a run."
-	ended     = "runner: A run ended."
-	paced     = "runner: Set a run's pace."
-	overBegan = "runner: Served tasks are over their target."
-	overEnded = "runner: Served tasks are within their target again."
+	msgJobAccepted  = "control: Took a job in."
+	msgRunStarted   = "runner: Started a run."
+	msgRunEnded     = "runner: A run ended."
+	msgPaceSet      = "runner: Set a run's pace."
+	msgOverTarget   = "runner: Served tasks are over their target."
+	msgWithinTarget = "runner: Served tasks are within their target again."
 )
 
-// longestLine bounds a log line, in bytes; a longer one is an error, since the rest of the
+// maxLineLength bounds a log line, in bytes. A longer one is an error, since the rest of the
 // file would be misread.
-const longestLine = 1 << 20
+const maxLineLength = 1 << 20
 
 // Log collects the lines of several files.
 type Log struct {
 	lines []line
-	// Skipped counts lines without a JSON object.
+	// Skipped counts the lines without a JSON object that has a time.
 	Skipped int
 }
 
-// Read adds a file's lines. Whatever stands before the JSON object of a line is skipped, so
-// that collected logs with a prefix can be read as they are.
+// Read adds the lines of r; name is for error messages. Text before the JSON object of a line
+// is ignored, so that logs can be read with the prefixes that a collector adds.
 func (l *Log) Read(name string, r io.Reader) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 1<<16), longestLine)
+	in.Buffer(make([]byte, 0, 1<<16), maxLineLength)
 	for in.Scan() {
 		at := bytes.IndexByte(in.Bytes(), '{')
 		if at < 0 {
@@ -97,12 +98,12 @@
 		l.lines = append(l.lines, x)
 	}
 	if err := in.Err(); err != nil {
-		return Class.New("reading %s: %v; give the logs as the processes wrote them, a line each", name, err)
+		return Class.New("reading %s: %v; give the logs as the processes wrote them, one JSON object per line", name, err)
 	}
 	return nil
 }
 
-// sorted returns the lines by time.
+// sorted returns the lines in order of time.
 func (l *Log) sorted() []line {
 	slices.SortStableFunc(l.lines, func(a, b line) int { return a.Time.Compare(b.Time) })
 	return l.lines
--- a/losses/path.go
+++ b/losses/path.go
@@ -7,18 +7,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Stage is a part of the way from a call to the end of its tasks.
+// Stage is a part of the time from a call to the end of its tasks.
 type Stage string
 
-// The stages, in their order. The first is a job's, the others each first run's of a task
-// but for the last two, which are every run's.
+// The stages in order. The first is measured for each job, the last two for each run, and the
+// others for the first run of each task.
 const (
 	StageCommit Stage = "committed"           // from the call's arrival at the leader to its commit
-	StagePlace  Stage = "first step: a place" // from the call's arrival to the decision on a first run
-	StageNext   Stage = "next step: a place"  // the same from the last end of the steps before
-	StageOrder  Stage = "decision committed"  // until the order leaves the leader
+	StagePlace  Stage = "first step: a place" // from the call's arrival to the placement decision
+	StageNext   Stage = "next step: a place"  // from the end of the previous steps to the placement decision
+	StageOrder  Stage = "decision committed"  // from the decision until the order leaves the leader
 	StageStart  Stage = "started"             // from the order's arrival at the agent to the worker's answer
-	StageWork   Stage = "worked"              // until the end is listed, of runs that were done
+	StageWork   Stage = "worked"              // from the start until the end is reported, of runs that were done
 )
 
 // Stages lists all stages in order.
@@ -34,15 +34,15 @@
 	p[k][s] = append(p[k][s], d)
 }
 
-func (p Path) took(k Kind, x *line) {
+func (p Path) addCommit(k Kind, x *line) {
 	if x.TookMS != nil {
 		p.add(k, StageCommit, milliseconds(*x.TookMS))
 	}
 }
 
-func (p Path) started(k Kind, x *line) {
+func (p Path) addStart(k Kind, x *line) {
 	if x.AskedMS == nil {
-		return // a process of another version
+		return // logged by a version without these fields
 	}
 	p.add(k, StageStart, milliseconds(*x.AskedMS))
 	if x.WaitedMS <= 0 {
@@ -58,8 +58,8 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Quantile returns the time within which a part of a kind's calls or runs were through a
-// stage, and how many there were.
+// Quantile returns the quantile at part, from 0 to 1, of the latencies of a kind's calls or
+// runs in a stage, and their number.
 func (p Path) Quantile(k Kind, s Stage, part float64) (time.Duration, int) {
 	list := p[k][s]
 	if len(list) == 0 {
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,4 +1,4 @@
-// Package operator is the client of the control replicas' operator interface.
+// Package operator implements the client of the control replicas' operator interface.
 package operator
 
 import (
@@ -28,13 +28,13 @@
 	retryPause = 200 * time.Millisecond
 )
 
-// Client talks to the replicas and finds the leader among them.
+// Client sends calls to the replicas and finds the leader among them.
 type Client struct {
 	http   *http.Client
 	scheme string
 	addrs  []string
-	// Patience bounds how long a call is repeated while no leader is known.
-	Patience time.Duration
+	// RetryTimeout bounds how long a call is retried while no leader is known.
+	RetryTimeout time.Duration
 }
 
 // NewClient returns a client for the replicas' operator addresses.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{scheme: "http", addrs: addrs, Patience: 10 * time.Second,
+	c := &Client{scheme: "http", addrs: addrs, RetryTimeout: 10 * time.Second,
 		http: &http.Client{Timeout: tryTimeout, Transport: &http.Transport{TLSClientConfig: tlsConfig, MaxIdleConnsPerHost: 8}}}
 	if tlsConfig != nil {
 		c.scheme = "https"
@@ -51,22 +51,22 @@
 	return c, nil
 }
 
-// NewID returns an id for a change or submission.
+// NewID returns a random id for a change or submission.
 func NewID() string {
 	b := make([]byte, 8)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// call asks one replica after the other until one answers or the patience ends.
-// Changes and submissions carry an id, so sending one again is safe.
+// call tries the replicas in turn until one answers or RetryTimeout has passed.
+// Changes and submissions carry an id, so retrying them is safe.
 func (c *Client) call(method, path string, body, out any) error {
-	deadline := time.Now().Add(c.Patience)
+	deadline := time.Now().Add(c.RetryTimeout)
 	var last error
 	for {
 		for _, addr := range c.addrs {
-			err := c.once(addr, method, path, body, out)
-			if err == nil || !tryElsewhere(err) {
+			err := c.callOnce(addr, method, path, body, out)
+			if err == nil || !retryable(err) {
 				return err
 			}
 			last = err
@@ -78,7 +78,8 @@
 	}
 }
 
-func tryElsewhere(err error) bool {
+// retryable reports whether a call that failed with err may be sent to another replica.
+func retryable(err error) bool {
 	e, ok := refusal.Of(err)
 	if !ok {
 		return true
@@ -90,7 +91,7 @@
 	return false
 }
 
-func (c *Client) once(addr, method, path string, body, out any) error {
+func (c *Client) callOnce(addr, method, path string, body, out any) error {
 	var r io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
@@ -135,7 +136,7 @@
 	return a, c.call(http.MethodPost, "/v1/changes", &ch, &a)
 }
 
-// ChangeNow sends a new change based on what is in force now.
+// ChangeNow sends a new change based on the present revision.
 func (c *Client) ChangeNow(ch market.Change) (market.Answer, error) {
 	base, err := c.Base(ch.Market)
 	if err != nil {
@@ -145,7 +146,8 @@
 	return c.Change(ch)
 }
 
-// Base returns the present revision that a change to a market builds on.
+// Base returns the present revision of a market, on which a change to it is based. An empty
+// name stands for the teams.
 func (c *Client) Base(marketName string) (uint64, error) {
 	if marketName == "" {
 		teams, err := c.Teams()
@@ -181,13 +183,13 @@
 	return out, c.call(http.MethodGet, "/v1/members", nil, &out)
 }
 
-// Submit submits tasks.
+// Submit submits tasks of a job.
 func (c *Client) Submit(s lease.Submit) (control.SubmitAnswer, error) {
 	var a control.SubmitAnswer
 	return a, c.call(http.MethodPost, "/v1/submissions", &s, &a)
 }
 
-// Cancel cancels tasks.
+// Cancel cancels all tasks of a job, or those named.
 func (c *Client) Cancel(x lease.Cancel) (lease.CancelAnswer, error) {
 	var a lease.CancelAnswer
 	return a, c.call(http.MethodPost, "/v1/cancellations", &x, &a)
@@ -215,10 +217,10 @@
 	return q, err
 }
 
-// SubmitJob hands a job in; sent again under the same path it stays one.
+// SubmitJob submits a job. It is idempotent by the request's path.
 func (c *Client) SubmitJob(j control.JobRequest) error { return c.call("POST", "/v1/jobs", j, nil) }
 
-// CancelJob ends a job.
+// CancelJob cancels a job.
 func (c *Client) CancelJob(j control.JobRequest) error {
 	return c.call("POST", "/v1/job-cancellations", j, nil)
 }
@@ -235,18 +237,18 @@
 	return out, err
 }
 
-// Machines lists the machines below the workers.
+// Machines lists the machines that host the workers.
 func (c *Client) Machines() (out []upkeep.Machine, err error) {
 	err = c.call("GET", "/v1/machines", nil, &out)
 	return out, err
 }
 
-// MoveMachine puts a machine into another pool.
+// MoveMachine moves a machine to another pool.
 func (c *Client) MoveMachine(m control.MachineMove) error {
 	return c.call("POST", "/v1/machine-moves", m, nil)
 }
 
-// StartWave asks for the upkeep of machines; sent again it stays one wave.
+// StartWave starts a wave of upkeep of machines. It is idempotent by the wave's number.
 func (c *Client) StartWave(w upkeep.Wave) error { return c.call("POST", "/v1/waves", w, nil) }
 
 // Waves lists the waves of upkeep, the highest number first.
@@ -255,40 +257,40 @@
 	return out, err
 }
 
-// DataCentres lists the data centres, with what still runs in each.
+// DataCentres lists the data centres with the work that is still in each.
 func (c *Client) DataCentres() (out []control.DataCentreView, err error) {
 	err = c.call("GET", "/v1/data-centres", nil, &out)
 	return out, err
 }
 
-// OrderDataCentre takes a data centre out of service, or brings it back. Sent again under the
-// same id it takes no effect twice.
+// OrderDataCentre takes a data centre out of service, or returns it to service. It is
+// idempotent by the order's id.
 func (c *Client) OrderDataCentre(o control.DataCentreRequest) (a datacentre.Answer, err error) {
 	err = c.call("POST", "/v1/data-centres", o, &a)
 	return a, err
 }
 
-// Init makes a new cluster at the first address.
+// Init creates a new cluster at the first address.
 func (c *Client) Init() error {
 	var out map[string]uint64
-	return c.once(c.addrs[0], http.MethodPost, "/v1/init", nil, &out)
+	return c.callOnce(c.addrs[0], http.MethodPost, "/v1/init", nil, &out)
 }
 
-// HandOver asks the leader to hand over.
+// HandOver transfers leadership to another replica and returns the new leader.
 func (c *Client) HandOver() (string, error) {
 	var out map[string]string
 	err := c.call(http.MethodPost, "/v1/hand-over", nil, &out)
 	return out["leader"], err
 }
 
-// Statuses asks every replica for its own view; those that do not answer are
-// returned by address with their error.
+// Statuses returns the status of each replica as it sees it, and the errors of the replicas
+// that did not answer by address.
 func (c *Client) Statuses() ([]control.StatusAnswer, map[string]error) {
 	var out []control.StatusAnswer
 	failed := make(map[string]error)
 	for _, addr := range c.addrs {
 		var a control.StatusAnswer
-		if err := c.once(addr, http.MethodGet, "/v1/status", nil, &a); err != nil {
+		if err := c.callOnce(addr, http.MethodGet, "/v1/status", nil, &a); err != nil {
 			failed[addr] = err
 			continue
 		}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// forgetAfter is how long an instance that is silent stays listed.
+// forgetAfter is how long an instance stays listed after its last acknowledgement.
 const forgetAfter = 10 * time.Minute
 
-// Instance is one acknowledgement.
+// Instance is the newest acknowledgement of one instance.
 type Instance struct {
 	Name     string        `json:"name"`
 	Role     string        `json:"role"`
 	Revision uint64        `json:"revision"`
-	Silent   time.Duration `json:"silent_ns"` // since the last acknowledgement
+	SinceAck time.Duration `json:"silent_ns"` // since the last acknowledgement
 	seen     time.Time
 }
 
@@ -29,21 +29,22 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: make(map[string]Instance)} }
 
-// Acknowledge notes what an instance has in force.
+// Acknowledge records the revision that an instance has in force.
 func (t *Table) Acknowledge(role, name string, revision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows[role+"/"+name] = Instance{Name: name, Role: role, Revision: revision, seen: time.Now()}
 }
 
-// List returns the instances heard of lately, in order.
+// List returns the instances that acknowledged within forgetAfter, by role and name, with
+// the time since then.
 func (t *Table) List() []Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Instance
 	for key, row := range t.rows {
-		row.Silent = time.Since(row.seen)
-		if row.Silent > forgetAfter {
+		row.SinceAck = time.Since(row.seen)
+		if row.SinceAck > forgetAfter {
 			delete(t.rows, key)
 			continue
 		}
