--- a/ablation/ablation.go
+++ b/ablation/ablation.go
@@ -1,8 +1,8 @@
-// Package ablation names the mechanisms of the scheduling policy that can be left out one
-// by one, to measure what each is worth.
+// Package ablation names the mechanisms of the scheduling policy that can be disabled one
+// at a time, to measure the benefit of each.
 //
-// Nothing at run time chooses them. A program is built without a mechanism by setting a
-// variable when it is linked, which scripts/ablate does in a scratch copy.
+// They can't be chosen at run time. A program is built without a mechanism by setting a
+// variable at link time, which scripts/ablate does in a scratch copy.
 package ablation
 
 import (
@@ -12,53 +12,54 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// Set holds the mechanisms that are left out. The zero value leaves out none.
+// Set holds the mechanisms that are disabled. The zero value disables none.
 type Set struct {
-	// Pace: filling runs are slowed beside served tasks that they disturb.
+	// Pace: filling runs are slowed down beside served tasks that they interfere with.
 	Pace bool
-	// PaceAtStart: a run's pace is set with its start, before a reading shows it.
+	// PaceAtStart: a run's pace is set at its start, before a measurement shows interference.
 	PaceAtStart bool
-	// Disturbance: filling tasks keep away from served tasks that they disturb.
+	// Disturbance: filling tasks are not placed beside served tasks that they interfere with.
 	Disturbance bool
-	// Tries: a pair of images never seen is tried where it is harmless at the moment.
+	// Tries: a pair of images without measurements is tried where it does no harm at present.
 	Tries bool
-	// AgentsWord: placing goes by what agents say that their served tasks bear.
+	// AgentsWord: placement uses the spare headroom that agents report for their served tasks.
 	AgentsWord bool
-	// Foresight: placing goes by a forecast of the served tasks' own load.
+	// Foresight: placement uses a forecast of the served tasks' own load.
 	Foresight bool
-	// Sharing: agents are told what others have learned of pairs.
+	// Sharing: agents receive what other agents have learned about pairs of images.
 	Sharing bool
-	// Lessons: what a leader has learned outlives it, and a loss of power everywhere.
+	// Lessons: what a leader has learned is persisted: it survives a change of leader and a
+	// power failure of all replicas.
 	Lessons bool
-	// Together: served tasks gather on the workers that have some.
+	// Together: served tasks are packed onto workers that already have served tasks.
 	Together bool
-	// Likes: served tasks gather with those that are disturbed by the same images.
+	// Likes: served tasks are placed beside similar ones, which the same images interfere with.
 	Likes bool
-	// Regroup: served tasks that stand among others move to their like.
+	// Regroup: served tasks beside dissimilar ones are moved to similar ones.
 	Regroup bool
-	// Moves: filling runs that are held up are moved.
+	// Moves: filling runs that are stalled are moved.
 	Moves bool
-	// Leaving: standing tasks leave workers that are about to end.
+	// Leaving: standing tasks are moved off workers that are about to end.
 	Leaving bool
-	// Copies: runs that take long get a second one.
+	// Copies: a second copy of a long-running run is started.
 	Copies bool
-	// Health: workers that fail what they run get nothing for a while.
+	// Health: workers whose runs fail get no new tasks for a while.
 	Health bool
-	// Slowness: slow workers are taken last.
+	// Slowness: slow workers are used last.
 	Slowness bool
-	// Whole: past the room a filling job begins when most of its step fits.
+	// Whole: a filling step that does not fit completely begins only when most of it fits.
 	Whole bool
-	// Outlook: jobs are served by what they can still come to.
+	// Outlook: jobs are ordered by deadline class: whether they can still be in time.
 	Outlook bool
-	// Admission: jobs that can't be in time are refused.
+	// Admission: jobs that can't meet their deadline are refused.
 	Admission bool
 }
 
-// leftOut names one mechanism, "" for none. It is set when the program is linked.
+// leftOut names the disabled mechanism, "" for none. It is set at link time.
 var leftOut string
 
-// Linked returns the mechanisms that this program was linked without. It panics on a name
-// that there is not: a program built so would measure nothing.
+// Linked returns the mechanisms that this program was linked without. It panics on an
+// unknown name: such a program would not measure anything.
 func Linked() Set {
 	s, err := Without(leftOut)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return s
 }
 
-// Without returns the set that leaves out the mechanism of a name, "" for none.
+// Without returns the set that disables the named mechanism, "" for none.
 func Without(name string) (Set, error) {
 	var s Set
 	if name == "" {
--- a/ablation/ablation_test.go
+++ b/ablation/ablation_test.go
@@ -7,10 +7,11 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// A program that says it was built without a mechanism but has it would measure nothing.
+// If two names, or no name, disabled a mechanism, an experiment would measure something
+// other than it claims. Each name must disable exactly one, and a plain build none.
 func TestEachNameLeavesOutOneMechanism(t *testing.T) {
 	if s := Linked(); s != (Set{}) {
-		t.Fatalf("a plain build leaves out %+v", s)
+		t.Fatalf("a plain build disables %+v", s)
 	}
 	seen := make(map[Set]string)
 	for _, name := range Names() {
@@ -19,12 +20,12 @@
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 		if other, twice := seen[s]; twice {
-			t.Errorf("%s leaves out the same as %s", name, other)
+			t.Errorf("%s disables the same as %s", name, other)
 		}
 		seen[s] = name
 	}
 	_, err := Without("Copes")
 	if !refusal.Is(err, refusal.Invalid) || !strings.Contains(err.Error(), "Copies") {
-		t.Errorf("a wrong name gets %v", err)
+		t.Errorf("an unknown name gets %v", err)
 	}
 }
--- a/advice/table.go
+++ b/advice/table.go
@@ -1,6 +1,6 @@
-// Package advice keeps what the advisor said of which workers may run a step. Some
-// queues' steps may run only on some workers, and nobody but the advisor knows on
-// which; a start there carries its ticket. Book is pure: the time is passed.
+// Package advice caches the advisor's answers on which workers may run a step. Steps of some
+// queues may run only on certain workers, which only the advisor knows; a start on one of them
+// carries a ticket from the advisor. Book does no I/O and takes the time as an argument.
 package advice
 
 import (
@@ -10,56 +10,56 @@
 )
 
 const (
-	// askedAtOnce is how many workers one question names at least: a call takes a
-	// time of its own, whatever is asked, so a few workers at a time would be slower.
-	askedAtOnce = 30
-	// mostAsked bounds a question; the advisor takes a hundred.
-	mostAsked = 100
-	// retryAfter is the pause after a question that went unanswered or was refused.
+	// minAsked is the minimum number of workers in a question, if there are as many: a call
+	// has a fixed latency whatever it asks, so asking about a few at a time would be slower.
+	minAsked = 30
+	// maxAsked bounds the workers in a question; the advisor accepts a hundred.
+	maxAsked = 100
+	// retryAfter is the pause after a question that was not answered or was refused.
 	retryAfter = 200 * time.Millisecond
-	// useBy is the part of a ticket's validity for which it is given out. The rest is
-	// for the way of the order to its worker.
-	useBy = 0.8
+	// usableShare is the part of a ticket's validity during which it is handed out. The rest
+	// allows for the transit of the order to the worker.
+	usableShare = 0.8
 )
 
-// Question asks which of the workers may run a step.
+// Question asks the advisor which of the workers may run a step.
 type Question struct {
 	Step    jobs.GroupKey
 	Workers []string
 }
 
-// Book is the knowledge of one leader. A new one asks anew.
+// Book is the advice table of one leader. It is not replicated: a new leader starts empty.
 type Book struct {
-	steps map[jobs.GroupKey]*opinions
+	steps map[jobs.GroupKey]*stepAdvice
 }
 
-// opinions is what is known of one step.
-type opinions struct {
+// stepAdvice is the advice on one step.
+type stepAdvice struct {
 	tickets map[string]ticket // by worker
-	allowed map[string]bool   // by worker; which may run the step never changes
-	asking  bool
-	after   time.Time // when it may be asked again
+	allowed map[string]bool   // by worker; an answer never changes
+	pending bool
+	retryAt time.Time // when it may be asked again
 }
 
-// ticket lets a worker run a step's tasks.
+// ticket permits a worker to run a step's tasks.
 type ticket struct {
 	value string
 	until time.Time
 }
 
-// NewBook returns a book that knows nothing.
-func NewBook() *Book { return &Book{steps: make(map[jobs.GroupKey]*opinions)} }
+// NewBook returns an empty table.
+func NewBook() *Book { return &Book{steps: make(map[jobs.GroupKey]*stepAdvice)} }
 
-func (b *Book) of(step jobs.GroupKey) *opinions {
+func (b *Book) adviceFor(step jobs.GroupKey) *stepAdvice {
 	o := b.steps[step]
 	if o == nil {
-		o = &opinions{tickets: make(map[string]ticket), allowed: make(map[string]bool)}
+		o = &stepAdvice{tickets: make(map[string]ticket), allowed: make(map[string]bool)}
 		b.steps[step] = o
 	}
 	return o
 }
 
-// Ticket returns a valid ticket for a step on a worker, "" for none.
+// Ticket returns a valid ticket for a step on a worker, "" if there is none.
 func (b *Book) Ticket(step jobs.GroupKey, worker string, now time.Time) string {
 	if o := b.steps[step]; o != nil && now.Before(o.tickets[worker].until) {
 		return o.tickets[worker].value
@@ -67,12 +67,13 @@
 	return ""
 }
 
-// Question returns what to ask for a step that needs so many more workers, of the
-// candidates, the best first. Workers that may run it and have only lost their ticket
-// go first. It is nil if there is nothing to ask now.
+// Question returns the next question for a step that needs the given number of workers.
+// Candidates are ordered best first; those with a valid ticket count towards the need.
+// Workers that may run the step but have no valid ticket any more are asked about first. It
+// returns nil if there is nothing to ask now.
 func (b *Book) Question(step jobs.GroupKey, need int, candidates []string, now time.Time) *Question {
-	o := b.of(step)
-	if o.asking || now.Before(o.after) {
+	o := b.adviceFor(step)
+	if o.pending || now.Before(o.retryAt) {
 		return nil
 	}
 	var expired, unknown []string
@@ -91,17 +92,17 @@
 		return nil
 	}
 	ask := append(expired, unknown...)
-	o.asking = true
-	return &Question{Step: step, Workers: ask[:min(len(ask), max(askedAtOnce, need), mostAsked)]}
+	o.pending = true
+	return &Question{Step: step, Workers: ask[:min(len(ask), max(minAsked, need), maxAsked)]}
 }
 
-// Answer takes in the tickets of the workers that may run the step; the others that
-// were asked about may not. The tickets' validity counts from when the question was
-// sent, which is never later than when they were made out.
+// Answer records the tickets of the workers that may run the step; the others in the
+// question may not. The tickets' validity counts from when the question was sent, which is
+// never later than when they were issued.
 func (b *Book) Answer(q *Question, tickets map[string]string, sent time.Time, valid time.Duration) {
-	o := b.of(q.Step)
-	o.asking = false
-	until := sent.Add(time.Duration(useBy * float64(valid)))
+	o := b.adviceFor(q.Step)
+	o.pending = false
+	until := sent.Add(time.Duration(usableShare * float64(valid)))
 	for _, w := range q.Workers {
 		value, allowed := tickets[w]
 		o.allowed[w] = allowed
@@ -111,20 +112,20 @@
 	}
 }
 
-// Unanswered takes in that a question has no answer.
+// Unanswered records that a question was not answered.
 func (b *Book) Unanswered(q *Question, now time.Time) {
-	o := b.of(q.Step)
-	o.asking, o.after = false, now.Add(retryAfter)
+	o := b.adviceFor(q.Step)
+	o.pending, o.retryAt = false, now.Add(retryAfter)
 }
 
-// Rejected drops the ticket of a worker that did not start a run.
+// Rejected drops the ticket of a worker that rejected the start of a run.
 func (b *Book) Rejected(step jobs.GroupKey, worker string) {
 	if o := b.steps[step]; o != nil {
 		delete(o.tickets, worker)
 	}
 }
 
-// Forget drops the steps that are not open any more.
+// Forget drops the steps for which open returns false.
 func (b *Book) Forget(open func(jobs.GroupKey) bool) {
 	for step := range b.steps {
 		if !open(step) {
--- a/advice/table_test.go
+++ b/advice/table_test.go
@@ -18,17 +18,17 @@
 	return out
 }
 
-// A caller's step may run on a few of many workers only. They are asked about thirty at
-// a time, not twice, and not while an answer is on its way.
+// A step may run on only a few of many workers. The advisor must be asked about each worker
+// once, in batches of thirty, and not while an answer is outstanding.
 func TestEachWorkerIsAskedAboutOnce(t *testing.T) {
 	b, now := NewBook(), time.Now()
 	all := workers(40)
 	q := b.Question(step, 2, all, now)
-	if q == nil || len(q.Workers) != askedAtOnce {
+	if q == nil || len(q.Workers) != minAsked {
 		t.Fatalf("the first question: %+v", q)
 	}
 	if b.Question(step, 2, all, now) != nil {
-		t.Fatal("a second question before the answer")
+		t.Fatal("a second question while the first is outstanding")
 	}
 	b.Answer(q, map[string]string{"w03": "t3"}, now, time.Second)
 	if b.Ticket(step, "w03", now) != "t3" || b.Ticket(step, "w04", now) != "" {
@@ -40,15 +40,15 @@
 	}
 	b.Answer(q, nil, now, time.Second)
 	if q := b.Question(step, 2, all, now); q != nil {
-		t.Fatalf("asked again about workers that are known: %+v", q)
+		t.Fatalf("asked again about workers with a known answer: %+v", q)
 	}
-	if q := b.Question(step, 200, workers(300), now); q == nil || len(q.Workers) != mostAsked {
+	if q := b.Question(step, 200, workers(300), now); q == nil || len(q.Workers) != maxAsked {
 		t.Fatalf("a question for a wide step: %+v", q)
 	}
 }
 
-// A ticket runs out while its step waits, or a worker rejects it. It is asked for
-// again, of workers that may run the step only; one about to run out is not used.
+// A ticket expires while its step waits, or a worker rejects it. It must be requested again,
+// only for workers that may run the step, and not be used shortly before it expires.
 func TestATicketIsRenewed(t *testing.T) {
 	b, now := NewBook(), time.Now()
 	all := workers(3)
@@ -56,15 +56,15 @@
 	b.Answer(q, map[string]string{"w01": "t1", "w02": "t2"}, now, time.Second)
 	later := now.Add(900 * time.Millisecond)
 	if b.Ticket(step, "w01", later) != "" {
-		t.Fatal("a ticket with a tenth of its time left was given out")
+		t.Fatal("a ticket with a tenth of its validity left was handed out")
 	}
 	q = b.Question(step, 1, all, later)
 	if q == nil || len(q.Workers) != 2 || q.Workers[0] != "w01" {
-		t.Fatalf("the question after the tickets ran out: %+v", q)
+		t.Fatalf("the question after the tickets expired: %+v", q)
 	}
 	b.Unanswered(q, later)
 	if b.Question(step, 1, all, later) != nil {
-		t.Fatal("asked again at once after no answer")
+		t.Fatal("asked again without a pause after no answer")
 	}
 	later = later.Add(retryAfter)
 	q = b.Question(step, 1, all, later)
--- a/golden/golden.go
+++ b/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test produced with a file that a person has read.
+// Package golden compares the output of a test with a reviewed file.
 package golden
 
 import (
@@ -9,8 +9,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// Compare fails the test if the text differs from the file at path. With the flag
-// -update it writes the file anew first.
+// Compare fails the test if got differs from the file at path. With the flag
+// -update it rewrites the file first.
 func Compare(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
--- a/header/header.go
+++ b/header/header.go
@@ -1,5 +1,5 @@
-// Package header has the HTTP headers that the system adds, and the rules for
-// what may pass through it.
+// Package header defines the HTTP headers that the system adds, and which headers of callers
+// and upstreams it forwards.
 package header
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Headers told to callers.
+// Headers of requests and responses between callers and an entry.
 const (
 	OutcomeName = "Waxwing-Outcome"
 	Reason      = "Waxwing-Reason"
-	// Timeout is the caller's own deadline, in milliseconds from now.
+	// Timeout is the time that the caller allows for the request, in milliseconds.
 	Timeout = "Waxwing-Timeout-Ms"
 	Key     = "Idempotency-Key"
-	// Replayed marks an answer that was kept from an earlier request.
+	// Replayed marks an answer that was stored for an earlier request with the same key.
 	Replayed = "Waxwing-Replayed"
 )
 
@@ -32,10 +32,10 @@
 
 var prefix = []byte("Waxwing-")
 
-// Outcome is what is known of a request.
+// Outcome tells whether the upstream has run a request.
 type Outcome string
 
-// The outcomes. NotRun is said only when the upstream certainly never saw the
+// The outcomes. NotRun is used only when the upstream certainly never received the
 // request.
 const (
 	Done    Outcome = "done"
@@ -43,17 +43,17 @@
 	Unknown Outcome = "unknown"
 )
 
-// hopByHop headers belong to one connection and never pass through.
+// hopByHop lists headers that concern one connection and are never forwarded.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection"}
 
-// fields is what request and response headers have in common.
+// fields is the common interface of request and response headers.
 type fields interface {
 	Del(key string)
 	VisitAll(f func(key, value []byte))
 }
 
-// strip removes hop-by-hop headers and all of this system's own but keep, so
-// that neither a caller nor an upstream can speak in the system's name.
+// strip removes hop-by-hop headers and all of the system's own headers except keep, so
+// that neither a caller nor an upstream can forge them.
 func strip(h fields, keep string) {
 	for _, name := range hopByHop {
 		h.Del(name)
@@ -69,17 +69,17 @@
 	}
 }
 
-// FromCaller cleans a caller's request before the system's headers are added.
+// FromCaller strips a caller's request before the system's headers are added.
 func FromCaller(h *fasthttp.RequestHeader) { strip(h, "") }
 
-// ForUpstream cleans an entry's request; the identity stays, for the upstream's
+// ForUpstream strips an entry's request. The request id stays, for the upstream's
 // own log.
 func ForUpstream(h *fasthttp.RequestHeader) { strip(h, ID) }
 
-// FromUpstream cleans an upstream's answer.
+// FromUpstream strips an upstream's response.
 func FromUpstream(h *fasthttp.ResponseHeader) { strip(h, "") }
 
-// NeverSent reports whether an error excludes that any byte of the request left.
+// NeverSent reports whether err guarantees that no byte of the request was sent.
 func NeverSent(err error) bool {
 	if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return true
--- a/load/compare.go
+++ b/load/compare.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Comparison is the medians of one target's runs.
+// Comparison holds the medians of one target's runs.
 type Comparison struct {
 	Name      string  `json:"name"`
 	P50       float64 `json:"p50_ms"`
@@ -17,7 +17,7 @@
 }
 
 // Compare runs the same load against several targets, written name=address, in
-// turn, so that whatever else the machine does falls on all of them.
+// turn, so that other load on the machine affects all of them alike.
 func Compare(o Options, targets []string, rounds int) ([]Comparison, error) {
 	results := make([][]Result, len(targets))
 	for range rounds {
@@ -58,7 +58,7 @@
 	return c
 }
 
-// WriteComparison prints a comparison as a tab-separated table.
+// WriteComparison writes a comparison as a tab-separated table.
 func WriteComparison(w io.Writer, list []Comparison) {
 	fmt.Fprintln(w, "TARGET\tP50 MS\tP99 MS\tP99.9 MS\tDONE/S\tP50 ADDED\tTHROUGHPUT\tNOT DONE")
 	for _, c := range list {
--- a/load/load.go
+++ b/load/load.go
@@ -1,5 +1,6 @@
-// Package load is a bounded load tool. It sends requests with tokens of their
-// own, checks that each answer is whole and its own, and counts outcomes.
+// Package load is a load generator with bounds on requests and concurrency. It sends each
+// request with a unique token, checks that the response is complete and has the same token,
+// and counts outcomes.
 package load
 
 import (
@@ -35,21 +36,21 @@
 	Method      string
 	Requests    int
 	Concurrency int
-	// Rate is the number of requests started a second, 0 for as many as the
-	// concurrency allows. Requests past the concurrency are dropped and
-	// counted, as an open load does not wait.
+	// Rate is the number of requests started per second, 0 for as many as the
+	// concurrency allows. With a rate the load is open: requests beyond the concurrency
+	// do not wait but are dropped and counted.
 	Rate     float64
 	Duration time.Duration // ends a run early, 0 for none
-	Timeout  time.Duration // told to the system as the caller's deadline
+	Timeout  time.Duration // sent as the caller's deadline, 0 for none
 	Keyed    bool          // sends an Idempotency-Key
 	From     string        // local IP number, empty for any
-	// Ready are the entries' health addresses, in the order of Addresses.
-	// With them the tool does what the platform's balancer does: it sends
-	// nothing to an entry that says it is not ready.
+	// Ready lists the entries' health addresses, in the order of Addresses.
+	// If given, the tool acts like the platform's load balancer: it sends
+	// nothing to an entry that reports that it is not ready.
 	Ready []string
 }
 
-// Result is what a run found.
+// Result holds the measurements of a run.
 type Result struct {
 	Requests  int            `json:"requests"`
 	Seconds   float64        `json:"seconds"`
@@ -60,7 +61,7 @@
 	P999      float64        `json:"p99_9_ms"`
 	RefuseP99 float64        `json:"refuse_p99_ms"` // of refused ones
 	NotOwn    int            `json:"not_own_answer"`
-	// Tokens are the outcomes by token, for comparing with the upstream's
+	// Tokens holds the outcomes by token, for comparison with the upstream's
 	// own record.
 	Tokens map[string]header.Outcome `json:"-"`
 }
@@ -111,7 +112,7 @@
 
 const readyEvery = 20 * time.Millisecond
 
-// watchReady asks an entry again and again whether it is ready.
+// watchReady polls an entry's readiness until stop is closed.
 func (r *runner) watchReady(i int, addr string, stop chan struct{}) {
 	for {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+addr+"/readyz", time.Second)
@@ -124,7 +125,8 @@
 	}
 }
 
-// pick takes the entries in turn, leaving out those that are not ready.
+// pick returns the client for request n. It uses the entries in turn and skips those that are
+// not ready, unless none is.
 func (r *runner) pick(n int) *fasthttp.HostClient {
 	for i := range r.clients {
 		if at := (n + i) % len(r.clients); r.ready[at].Load() {
@@ -138,7 +140,7 @@
 	return transport.NewHost(addr, transport.NewClient(nil, r.o.From).Dialer(), r.o.Concurrency)
 }
 
-// run starts the workers and feeds them request numbers, paced if asked for.
+// run sends the requests, at Rate if it is set, and returns a sample of each.
 func (r *runner) run(start time.Time) []sample {
 	feed := make(chan int)
 	out := make([][]sample, r.o.Concurrency)
@@ -148,7 +150,7 @@
 		go func() {
 			defer wg.Done()
 			for n := range feed {
-				out[w] = append(out[w], r.one(n))
+				out[w] = append(out[w], r.send(n))
 			}
 		}()
 	}
@@ -187,7 +189,7 @@
 	return dropped
 }
 
-func (r *runner) one(n int) sample {
+func (r *runner) send(n int) sample {
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(q)
 	defer fasthttp.ReleaseResponse(p)
@@ -206,14 +208,14 @@
 	err := r.pick(n).DoTimeout(q, p, sendTimeout)
 	s.took = float64(time.Since(start)) / float64(time.Millisecond)
 	s.read(p, err)
-	if r.o.Timeout > 0 && s.outcome == header.Done && s.took > float64((r.o.Timeout+lateSlack).Milliseconds()) {
-		s.reason = "too-late" // of no use to the caller any more
+	if r.o.Timeout > 0 && s.outcome == header.Done && s.took > float64((r.o.Timeout+lateTolerance).Milliseconds()) {
+		s.reason = "too-late" // the caller has given up by then
 	}
 	return s
 }
 
-// lateSlack is what an answer may be over its time for the way back.
-const lateSlack = 50 * time.Millisecond
+// lateTolerance is how long after its deadline a response may arrive, for the transit time.
+const lateTolerance = 50 * time.Millisecond
 
 func (s *sample) read(p *fasthttp.Response, err error) {
 	switch {
@@ -224,7 +226,7 @@
 	default:
 		s.outcome = header.Outcome(p.Header.Peek(header.OutcomeName))
 		s.reason = string(p.Header.Peek(header.Reason))
-		if s.outcome == "" { // an upstream that was asked directly
+		if s.outcome == "" { // sent directly to an upstream
 			s.outcome = header.Done
 		}
 		if s.outcome == header.Done && p.StatusCode() >= fasthttp.StatusInternalServerError {
@@ -272,7 +274,7 @@
 	return list[min(max(i, 0), len(list)-1)]
 }
 
-// Table formats a result for people.
+// Table formats a result as text.
 func (r Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "requests %d in %.2f s, %.0f done/s\n", r.Requests, r.Seconds, r.PerSecond)
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource has the amounts of processors, memory and accelerators that
+// Package resource defines the amounts of processors, memory and accelerators that
 // workers offer and tasks need.
 package resource
 
@@ -19,10 +19,10 @@
 	return Vector{v.MilliCPU - o.MilliCPU, v.MemoryMB - o.MemoryMB, v.Accelerators - o.Accelerators}
 }
 
-// Negative reports whether any amount is below 0.
+// Negative reports whether any amount is negative.
 func (v Vector) Negative() bool { return v.MilliCPU < 0 || v.MemoryMB < 0 || v.Accelerators < 0 }
 
-// Fits reports whether v is no more than room in every resource.
-func (v Vector) Fits(room Vector) bool {
-	return v.MilliCPU <= room.MilliCPU && v.MemoryMB <= room.MemoryMB && v.Accelerators <= room.Accelerators
+// Fits reports whether v is at most capacity in every resource.
+func (v Vector) Fits(capacity Vector) bool {
+	return v.MilliCPU <= capacity.MilliCPU && v.MemoryMB <= capacity.MemoryMB && v.Accelerators <= capacity.Accelerators
 }
--- a/scripts/compare/compare.go
+++ b/scripts/compare/compare.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Play names one play: a build on a day of a deployment, with a seed.
+// Play identifies one play: a build on a day of a deployment, with a seed.
 type Play struct {
 	Build string `json:"build"`
 	Site  string `json:"site"`
@@ -19,34 +19,34 @@
 	Seed  int    `json:"seed"`
 }
 
-// Result is what became of a play. Worth, served and the parts run from 0 to 1.
+// Result is the outcome of a play. Worth, served, windows and classes range from 0 to 1.
 type Result struct {
 	Play
 	Worth   float64            `json:"worth"`
 	Served  float64            `json:"served"`
-	Windows float64            `json:"windows"` // the worst windows
-	Classes map[string]float64 `json:"classes"` // worth by kind of request
-	Asked   map[string]int     `json:"asked"`   // requests by kind; of standing jobs, spans of their time
-	Broken  []string           `json:"broken,omitempty"`
+	Windows float64            `json:"windows"`          // the score of the worst windows
+	Classes map[string]float64 `json:"classes"`          // worth by class of request
+	Asked   map[string]int     `json:"asked"`            // requests by class; for standing jobs, intervals of their time
+	Broken  []string           `json:"broken,omitempty"` // rules that were violated, and a fault
 }
 
-// Difference compares a build with the base over the plays that both have.
+// Difference compares a build with the base over the plays that exist for both.
 type Difference struct {
 	Site, Build string
 	Pairs       int
-	Base, Mean  float64 // worth
-	Gain, Error float64 // of the worth, and its standard error
-	Windows     float64 // gain of the worst windows
-	Classes     map[string]float64
-	// Asked is the part of the base's requests by kind that the build was asked for. A
-	// standing job that is refused is asked for only once: where this is under 1, what is
-	// served is less than the worth says.
+	Base, Mean  float64            // worth
+	Gain, Error float64            // of the worth, and its standard error
+	Windows     float64            // gain of the worst windows
+	Classes     map[string]float64 // gain by class of request
+	// Asked is the ratio of the build's requests to the base's, by class. A standing job
+	// that is refused is requested only once: where the ratio is below 1, less is served
+	// than the worth suggests.
 	Asked  map[string]float64
-	Broken int // plays of the build with a rule broken
+	Broken int // plays of the build with a violated rule
 }
 
-// Differences compares all builds with the first, by site, and over all sites under the
-// name "all" if there are several.
+// Differences compares each build with the first, by site and, if there are several sites,
+// over all of them under the name "all".
 func Differences(builds []string, results []Result) []Difference {
 	sites := sitesOf(results)
 	var out []Difference
@@ -83,9 +83,9 @@
 	if site == "" {
 		d.Site = "all"
 	}
-	var of, to, gains, windows []float64
+	var baseWorth, worth, gains, windows []float64
 	classes := make(map[string][]float64)
-	askedOf, askedTo := make(map[string]int), make(map[string]int)
+	askedBase, askedBuild := make(map[string]int), make(map[string]int)
 	for _, r := range results {
 		if r.Build != build || (site != "" && r.Site != site) {
 			continue
@@ -96,13 +96,13 @@
 		if !ok {
 			continue
 		}
-		of, to = append(of, b.Worth), append(to, r.Worth)
+		baseWorth, worth = append(baseWorth, b.Worth), append(worth, r.Worth)
 		gains = append(gains, r.Worth-b.Worth)
 		windows = append(windows, r.Windows-b.Windows)
 		for name, v := range r.Classes {
 			classes[name] = append(classes[name], v-b.Classes[name])
-			askedOf[name] += b.Asked[name]
-			askedTo[name] += r.Asked[name]
+			askedBase[name] += b.Asked[name]
+			askedBuild[name] += r.Asked[name]
 		}
 		if len(r.Broken) > 0 {
 			d.Broken++
@@ -112,11 +112,11 @@
 	if d.Pairs == 0 {
 		return d
 	}
-	d.Base, d.Mean, d.Windows = stat.Mean(of, nil), stat.Mean(to, nil), stat.Mean(windows, nil)
+	d.Base, d.Mean, d.Windows = stat.Mean(baseWorth, nil), stat.Mean(worth, nil), stat.Mean(windows, nil)
 	for name, list := range classes {
 		d.Classes[name] = stat.Mean(list, nil)
-		if askedOf[name] > 0 {
-			d.Asked[name] = float64(askedTo[name]) / float64(askedOf[name])
+		if askedBase[name] > 0 {
+			d.Asked[name] = float64(askedBuild[name]) / float64(askedBase[name])
 		}
 	}
 	mean, deviation := stat.MeanStdDev(gains, nil)
@@ -127,7 +127,7 @@
 	return d
 }
 
-// writeTable writes differences for a terminal.
+// writeTable writes differences as an aligned table.
 func writeTable(w io.Writer, list []Difference) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SITE\tBUILD\tPAIRS\tBASE\tWORTH\tGAIN\tERROR\tWINDOWS\tBROKEN\tBY CLASS")
@@ -137,7 +137,7 @@
 	t.Flush()
 }
 
-// classGains tells the gain by kind of request, and how many of the base's were asked for.
+// classGains formats the gain by class of request, and the ratio of the requests to the base's.
 func classGains(d *Difference) (out string) {
 	for i, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		if i > 0 {
@@ -148,7 +148,7 @@
 	return out
 }
 
-// writeRows writes the same as rows of a page's table.
+// writeRows writes differences as rows of a Markdown table.
 func writeRows(w io.Writer, list []Difference) {
 	for _, d := range list {
 		fmt.Fprintf(w, "| %s | %s | %.3f | %.3f | %+.3f (%.3f, %d) |\n", d.Build, d.Site, d.Base, d.Mean, d.Gain, d.Error, d.Pairs)
--- a/scripts/compare/compare_test.go
+++ b/scripts/compare/compare_test.go
@@ -13,8 +13,8 @@
 	return Result{Play: Play{Build: build, Site: site, Day: "d", Seed: seed}, Worth: worth, Windows: worth / 2, Classes: map[string]float64{"look-up": worth}, Asked: map[string]int{"look-up": 10 + seed}}
 }
 
-// Plays are compared in pairs of the same day and seed, each site by itself and all together.
-// A play without its pair counts nowhere.
+// Plays must be compared in pairs of the same day and seed, by site and over all sites. A play
+// without a counterpart must not count.
 func TestDifferencesArePaired(t *testing.T) {
 	list := []Result{
 		result("base", "a", 1, 0.5), result("new", "a", 1, 0.6),
@@ -27,7 +27,7 @@
 	if len(got) != 3 || got[0].Site != "a" || got[1].Site != "b" || got[2].Site != "all" {
 		t.Fatalf("%+v", got)
 	}
-	near := func(what string, v, want float64) {
+	approx := func(what string, v, want float64) {
 		if math.Abs(v-want) > 1e-9 {
 			t.Errorf("%s is %v, want %v", what, v, want)
 		}
@@ -36,16 +36,16 @@
 	if a.Pairs != 2 || a.Broken != 1 {
 		t.Errorf("on a: %+v", a)
 	}
-	near("base", a.Base, 0.6)
-	near("gain", a.Gain, 0.05)
-	near("error", a.Error, 0.05) // deviation 0.0707 over the root of two
-	near("windows", a.Windows, 0.025)
-	near("class", a.Classes["look-up"], 0.05)
-	near("asked", a.Asked["look-up"], 1)
+	approx("base", a.Base, 0.6)
+	approx("gain", a.Gain, 0.05)
+	approx("error", a.Error, 0.05) // deviation 0.0707 over the root of two
+	approx("windows", a.Windows, 0.025)
+	approx("class", a.Classes["look-up"], 0.05)
+	approx("asked", a.Asked["look-up"], 1)
 	if !math.IsNaN(got[1].Error) {
 		t.Errorf("one pair has an error of %v", got[1].Error)
 	}
-	near("gain over all", got[2].Gain, 0)
+	approx("gain over all", got[2].Gain, 0)
 	var b bytes.Buffer
 	writeTable(&b, got)
 	writeRows(&b, got)
@@ -54,7 +54,7 @@
 	}
 }
 
-// A report tells of worth, parts, classes, and what broke.
+// A report has the worth, parts, classes, and violated rules; a fault counts as a violation.
 func TestReportIsRead(t *testing.T) {
 	r, err := decode(Play{Build: "x"}, []byte(`{"G":0.53,"served":0.64,"fault":null,"breaks":{"EVAC":[1]},"parts":[["whole day",0.75,0.64],["worst windows",0.15,0.2]],"classes":[{"name":"c","worth":0.9,"n":7}]}`))
 	if err != nil || r.Worth != 0.53 || r.Served != 0.64 || r.Windows != 0.2 || r.Classes["c"] != 0.9 || r.Asked["c"] != 7 || len(r.Broken) != 1 {
@@ -64,11 +64,11 @@
 		t.Errorf("a fault: %+v %v", r, err)
 	}
 	if _, err := decode(Play{}, []byte(`{"G":`)); err == nil {
-		t.Error("half a report is read")
+		t.Error("a truncated report is accepted")
 	}
 }
 
-// What an earlier call has played is not played again, and pairs come first.
+// Plays of an earlier call must not be repeated, and the order must complete pairs early.
 func TestOnlyWhatIsMissingIsPlayed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plays.jsonl")
 	if err := os.WriteFile(file, []byte(`{"build":"base","site":"s","day":"d","seed":1,"worth":0.5}`+"\n"), 0o644); err != nil {
@@ -90,13 +90,13 @@
 			t.Errorf("play %d is %+v, want %+v", i, got[i], want[i])
 		}
 	}
-	if n := len(p.of([]string{"base", "new"})); n != 1 {
+	if n := len(p.selected([]string{"base", "new"})); n != 1 {
 		t.Errorf("%d plays are counted", n)
 	}
 	if err := os.WriteFile(file, []byte("{\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := load(file); err == nil {
-		t.Error("a broken file is read")
+		t.Error("a damaged file is accepted")
 	}
 }
--- a/scripts/compare/main.go
+++ b/scripts/compare/main.go
@@ -1,11 +1,11 @@
-// Command compare plays builds of the system against each other on the users' bench: the same
-// days with the same seeds, several at a time. It prints for each deployment what the builds
-// are worth, the difference to the first, and that difference's standard error.
+// Command compare plays builds of the system on the users' bench, with the same days and seeds
+// for each build, several plays at a time. For each deployment it prints the worth of the
+// builds, the difference to the first build, and the standard error of that difference.
 //
 //	go run ./scripts/compare --program BENCH --site SITE.toml --day trouble-1 --seeds 8 \
 //	    --why "..." --build base=commit:HEAD~1 --build new=commit:HEAD --out plays.jsonl
 //
-// Ctrl-C ends it and keeps what is done; called again with the same --out it goes on.
+// Ctrl-C ends it and keeps the finished plays; run again with the same --out it continues.
 package main
 
 import (
@@ -42,7 +42,7 @@
 
 func main() {
 	var o options
-	app := kingpin.New("compare", "Plays builds of the system against each other on the same days and seeds.")
+	app := kingpin.New("compare", "Compares builds of the system on the same days and seeds.")
 	app.Flag("program", "The bench's program.").Required().ExistingFileVar(&o.program)
 	app.Flag("site", "A deployment's file; may be repeated.").Required().ExistingFilesVar(&o.sites)
 	app.Flag("day", "A day's name or file; may be repeated.").Required().StringsVar(&o.days)
@@ -51,9 +51,9 @@
 	app.Flag("build", "NAME=FOLDER or NAME=commit:REVISION; the first is the base.").Required().StringsVar(&o.builds)
 	app.Flag("jobs", "Plays at a time, one core each.").Default("5").IntVar(&o.jobs)
 	app.Flag("cpu", "Charge processor time.").BoolVar(&o.cpu)
-	app.Flag("why", "For the journal.").Required().StringVar(&o.why)
-	app.Flag("out", "Where the plays are kept, a line each; what is there already isn't played again.").Required().StringVar(&o.out)
-	app.Flag("work", "Folder for the builds of commits.").Default(filepath.Join(os.TempDir(), "compare")).StringVar(&o.work)
+	app.Flag("why", "The reason for the plays, for the bench's journal.").Required().StringVar(&o.why)
+	app.Flag("out", "The file for the results, a line for each play; plays that it already has are not repeated.").Required().StringVar(&o.out)
+	app.Flag("work", "The folder for check-outs of commits.").Default(filepath.Join(os.TempDir(), "compare")).StringVar(&o.work)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -63,7 +63,7 @@
 	}
 }
 
-// build is one variant of the system.
+// build is one variant of the system and the folder of its sources.
 type build struct{ name, folder string }
 
 func run(ctx context.Context, o options) error {
@@ -87,13 +87,14 @@
 	if err := p.playAll(ctx, builds); err != nil {
 		return err
 	}
-	list := Differences(names, p.of(names))
+	list := Differences(names, p.selected(names))
 	writeTable(os.Stdout, list)
 	writeRows(os.Stdout, list)
 	return nil
 }
 
-// prepare finds a build's folder, or makes one of a commit.
+// prepare parses a --build flag. For a commit it makes a check-out below work, unless there is
+// one.
 func prepare(work, text string) (build, error) {
 	name, where, ok := strings.Cut(text, "=")
 	if !ok || name == "" {
@@ -123,7 +124,7 @@
 	return build{name, folder}, nil
 }
 
-// load reads the plays of an earlier call.
+// load reads the results of earlier calls. A missing file has none.
 func load(path string) ([]Result, error) {
 	f, err := os.Open(path)
 	if os.IsNotExist(err) {
@@ -145,14 +146,14 @@
 	return out, lines.Err()
 }
 
-// player plays what is not done yet.
+// player runs the plays that are not done yet.
 type player struct {
 	o    options
 	mu   sync.Mutex
 	done []Result
 }
 
-// todo lists the plays in an order in which pairs are complete as early as may be.
+// todo lists the missing plays in an order that completes pairs as early as possible.
 func (p *player) todo(builds []build) []Play {
 	known := make(map[Play]bool)
 	for _, r := range p.done {
@@ -203,20 +204,20 @@
 			}
 			r, err := p.play(ctx, x, folders[x.Build], sites[x.Site], days[x.Day])
 			if ctx.Err() != nil {
-				return nil // ended from outside: what is done is kept
+				return nil // interrupted; the finished plays are kept
 			}
 			if err != nil {
 				return fmt.Errorf("%s on %s, %s, seed %d: %w", x.Build, x.Site, x.Day, x.Seed, err)
 			}
 			fmt.Fprintf(os.Stderr, "%d of %d: %s %s %s seed %d: %.3f\n", i+1, len(list), x.Build, x.Site, x.Day, x.Seed, r.Worth)
-			return p.keep(out, r)
+			return p.save(out, r)
 		})
 	}
 	return g.Wait()
 }
 
-// keep adds a play to those that are done.
-func (p *player) keep(out *os.File, r Result) error {
+// save records a finished play in memory and in the output file.
+func (p *player) save(out *os.File, r Result) error {
 	line, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -228,8 +229,8 @@
 	return err
 }
 
-// of returns the plays of these builds on the sites, days and seeds asked for.
-func (p *player) of(names []string) (out []Result) {
+// selected returns the finished plays of these builds on the configured sites, days and seeds.
+func (p *player) selected(names []string) (out []Result) {
 	asked := make(map[Play]bool)
 	q := &player{o: p.o}
 	var builds []build
@@ -267,13 +268,13 @@
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	output, err := cmd.CombinedOutput()
 	if err != nil && ctx.Err() == nil {
-		if _, is := err.(*exec.ExitError); !is { // a broken rule is told by the report
+		if _, is := err.(*exec.ExitError); !is { // a violated rule is in the report
 			return Result{}, err
 		}
 	}
 	text, err := os.ReadFile(report.Name())
 	if err != nil || len(text) == 0 {
-		return Result{}, fmt.Errorf("there is no report: %s", tail(output))
+		return Result{}, fmt.Errorf("the bench wrote no report; its output ends with: %s", tail(output))
 	}
 	return decode(x, text)
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,10 +1,10 @@
-// Package worker is the interface of the platform's workers: how an agent
+// Package worker defines the interface of the platform's workers: how an agent
 // starts, throttles, checkpoints and stops tasks, each under a lease and with an
 // attempt number.
 //
-// The worker enforces the lease by its own clock, since a frozen agent could
-// not. It keeps the highest attempt it ever heard of for each task as a fence,
-// for at least FenceKept after it forgot the attempt itself.
+// The worker enforces the lease by its own clock, since a suspended agent could
+// not. It keeps the highest attempt that it received for each task as a fence,
+// for at least FenceKept after it dropped the attempt itself.
 package worker
 
 import (
@@ -20,11 +20,11 @@
 	PathSync   = "/worker/sync"   // POST Sync: Report
 )
 
-// FenceKept is how long a worker refuses attempts it was told to forget. It is
-// longer than any lease, and no start is valid past its lease.
+// FenceKept is how long a worker refuses attempts that it was told to forget. It is
+// longer than any lease, and no start is valid beyond its lease.
 const FenceKept = 10 * time.Minute
 
-// Start asks for one attempt.
+// Start is the command to start one attempt.
 type Start struct {
 	Task       string          `json:"task"`
 	Attempt    uint32          `json:"attempt"`
@@ -35,41 +35,41 @@
 	Checkpoint string          `json:"checkpoint,omitempty"`
 }
 
-// Stop ends one attempt, after a checkpoint if asked for. A stop of an attempt
-// that the worker does not know makes it certain that it never starts: the
-// worker reports it as rejected from then on.
+// Stop is the command to end one attempt, after a checkpoint if requested. Stopping an
+// attempt that the worker does not know guarantees that it never starts: from then on the
+// worker reports it as rejected.
 type Stop struct {
 	Task       string `json:"task"`
 	Attempt    uint32 `json:"attempt"`
 	Checkpoint bool   `json:"checkpoint"`
 }
 
-// ThrottledSuffix marks a throttled task's job in measurements: it costs the
-// service less, and is learned by itself.
+// ThrottledSuffix is appended to a throttled task's job in measurements. A throttled task
+// slows the service less, so its effect is learned separately.
 const ThrottledSuffix = "~throttled"
 
-// Ref names one attempt.
+// Ref identifies one attempt.
 type Ref struct {
 	Task    string `json:"task"`
 	Attempt uint32 `json:"attempt"`
 }
 
-// Sync is everything an agent asks of its worker at one time.
+// Sync holds all commands that an agent sends to its worker at one time.
 type Sync struct {
-	// Boot must be the worker's own, else nothing of the message is done.
+	// Boot must be the worker's own; otherwise the worker ignores the message.
 	Boot string `json:"boot"`
 	// UntilMS is the end of the lease on the worker's own clock. The worker
-	// never shortens it, and does nothing of a message past it.
+	// never shortens its lease, and ignores a message that it gets after UntilMS.
 	UntilMS int64   `json:"until_ms"`
 	Start   []Start `json:"start,omitempty"`
 	Stop    []Stop  `json:"stop,omitempty"`
-	// Throttle names the tasks that are to run at a part of their speed; all
-	// others run at full speed.
+	// Throttle names the tasks that are to run at reduced speed; all others run at
+	// full speed.
 	Throttle []string `json:"throttle,omitempty"`
 	Forget   []Ref    `json:"forget,omitempty"`
 }
 
-// TaskReport is one attempt as the worker knows it.
+// TaskReport is the state of one attempt at the worker.
 type TaskReport struct {
 	Task       string          `json:"task"`
 	Attempt    uint32          `json:"attempt"`
@@ -82,7 +82,7 @@
 	Reason     string          `json:"reason,omitempty"`
 }
 
-// Report is the worker's state.
+// Report is the state of a worker.
 type Report struct {
 	Boot     string          `json:"boot"`
 	ClockMS  int64           `json:"clock_ms"` // the worker's own, monotonic
