--- a/advice/table.go
+++ b/advice/table.go
@@ -36,7 +36,7 @@
 // stepAdvice is the advice on one step.
 type stepAdvice struct {
 	tickets map[string]ticket // by worker
-	allowed map[string]bool   // by worker; an answer never changes
+	allowed map[string]bool   // by worker; whether it may run the step never changes
 	pending bool
 	retryAt time.Time // when it may be asked again
 }
