--- a/score/scenario.go
+++ b/score/scenario.go
@@ -1,7 +1,7 @@
-// Package score compares placement policies over a day in virtual time, on the
-// same seeds: service latency against running alone, batch work, deadlines,
-// evictions. The world is a few numbers per worker, behind the same snapshot
-// and plan that the control uses; it is no cluster simulator.
+// Package score compares placement policies over a simulated day, on the same seeds, by service
+// latency relative to running alone, batch work done, deadlines met and evictions. The policies get
+// the same snapshots and return the same plans as in the control. The simulation models a worker by
+// a few numbers only: it is not a full cluster simulator.
 package score
 
 import (
@@ -15,45 +15,46 @@
 )
 
 const (
-	second  = int64(1000) // milliseconds
-	minute  = 60 * second
-	hour    = 60 * minute
-	step    = 10 * second
-	dayLong = 24 * hour
+	second    = int64(1000) // milliseconds
+	minute    = 60 * second
+	hour      = 60 * minute
+	step      = 10 * second
+	dayLength = 24 * hour
 )
 
-// kind is a job with what the policies do not know: its true cost to the service
-// beside it and its true run time.
+// kind is a job with properties that the policies cannot see: its true cost to the service on the
+// same worker and its true run time.
 type kind struct {
-	job      market.Job
-	cost     [interference.Bands]float64 // logarithm of the slowdown of one task, by load
-	trueTime int64                       // milliseconds
-	noisy    bool
-	never    bool // asks for more than any worker has
+	job         market.Job
+	cost        [interference.Bands]float64 // log of the slowdown by one task, by load band
+	trueRunTime int64                       // milliseconds
+	noisy       bool
+	tooLarge    bool // needs more than any worker has
 }
 
-// arrival is a submission on its way.
+// arrival is a submission of count tasks at a time in milliseconds. In scenario.cancels it is the
+// cancellation of a job.
 type arrival struct {
 	at    int64
 	kind  *kind
 	count int
 }
 
-// scenario is one deployment's day, drawn from a seed.
+// scenario is one day of a deployment, generated from a seed.
 type scenario struct {
-	name     string
-	workers  int
-	capacity resource.Vector
-	kept     int64 // milli CPU that the service keeps
-	racks    int
-	centres  int
-	peak     [2]int64 // hours of the busiest time
-	kinds    []*kind
-	arrivals []arrival
-	presets  []presetAt
-	failing  window // a worker that fails everything
-	lost     []window
-	cancels  []arrival
+	name        string
+	workers     int
+	capacity    resource.Vector
+	reservedCPU int64 // reserved for the service, in thousandths of a processor
+	racks       int
+	centres     int
+	peak        [2]int64 // first and last hour of the peak
+	kinds       []*kind
+	arrivals    []arrival
+	presets     []presetAt
+	failing     window   // one worker fails every task
+	outages     []window // each loses one worker
+	cancels     []arrival
 }
 
 type presetAt struct {
@@ -61,16 +62,16 @@
 	preset market.Preset
 }
 
-// window is a time in which something is wrong with one worker.
+// window is a time interval, in milliseconds, in which one worker is faulty.
 type window struct {
 	worker   int
 	from, to int64
 }
 
-func (w window) holds(i int, now int64) bool { return w.worker == i && now >= w.from && now < w.to }
+func (w window) covers(i int, now int64) bool { return w.worker == i && now >= w.from && now < w.to }
 
-// The presets of the two deployments. The Guild weighs throughput, the
-// Cooperative tail latency.
+// The presets of the two deployments. The Guild weighs throughput more, the Cooperative tail
+// latency.
 var (
 	throughput = market.Preset{Name: "overnight", TailWeight: 0.1, BatchShare: 1, MaxSlowdown: 1.5, Explore: true}
 	ordinary   = market.Preset{Name: "day", TailWeight: 0.6, BatchShare: 0.7, MaxSlowdown: 1.25}
@@ -79,7 +80,7 @@
 
 func guild(rng *rand.Rand) *scenario {
 	s := &scenario{name: "guild", workers: 11, capacity: resource.Vector{MilliCPU: 64_000, MemoryMB: 250_000, Accelerators: 2},
-		kept: 12_000, racks: 4, centres: 4, peak: [2]int64{9, 17}}
+		reservedCPU: 12_000, racks: 4, centres: 4, peak: [2]int64{9, 17}}
 	s.presets = []presetAt{{0, throughput}, {7 * hour, ordinary}, {10 * hour, latency}, {16 * hour, ordinary}, {19 * hour, throughput}}
 	s.draw(rng, 7, 3*hour)
 	return s
@@ -87,13 +88,14 @@
 
 func cooperative(rng *rand.Rand) *scenario {
 	s := &scenario{name: "cooperative", workers: 11, capacity: resource.Vector{MilliCPU: 32_000, MemoryMB: 125_000},
-		kept: 8_000, racks: 4, centres: 3, peak: [2]int64{16, 21}}
+		reservedCPU: 8_000, racks: 4, centres: 3, peak: [2]int64{16, 21}}
 	s.presets = []presetAt{{0, ordinary}, {15 * hour, latency}, {22 * hour, ordinary}}
 	s.draw(rng, 6, 2*hour)
 	return s
 }
 
-// draw makes the kinds, their arrivals and the failures of the day.
+// draw generates the kinds, their arrivals and the failures of the day. slack is the least time, in
+// milliseconds, that a deadline leaves beyond the run time; 0 means no deadlines.
 func (s *scenario) draw(rng *rand.Rand, kinds int, slack int64) {
 	for i := range kinds {
 		s.kinds = append(s.kinds, drawKind(rng, i, slack))
@@ -101,28 +103,28 @@
 	s.drawArrivals(rng)
 	s.drawFailures(rng)
 	never := drawKind(rng, 90, slack)
-	never.never, never.job.MilliCPU = true, s.capacity.MilliCPU*2
+	never.tooLarge, never.job.MilliCPU = true, s.capacity.MilliCPU*2
 	s.kinds = append(s.kinds, never)
 	s.arrivals = append(s.arrivals, arrival{hour, never, 20})
 	urgent := drawKind(rng, 91, 0)
-	urgent.job.Urgent, urgent.job.MilliCPU, urgent.trueTime, urgent.noisy = true, 4000, 2*minute, false
+	urgent.job.Urgent, urgent.job.MilliCPU, urgent.trueRunTime, urgent.noisy = true, 4000, 2*minute, false
 	urgent.cost = [interference.Bands]float64{}
 	s.kinds = append(s.kinds, urgent)
 	for range 60 {
-		s.arrivals = append(s.arrivals, arrival{rng.Int64N(dayLong-2*hour) / step * step, urgent, 1})
+		s.arrivals = append(s.arrivals, arrival{rng.Int64N(dayLength-2*hour) / step * step, urgent, 1})
 	}
 }
 
-// drawKind draws a job. Most kinds are harmless, some are noisy, and what is
-// declared of the run time is off by up to five times either way.
+// drawKind generates a job. One kind in three is noisy and slows the service down clearly; the
+// others hardly do. The declared run time is off by a factor of up to five in either direction.
 func drawKind(rng *rand.Rand, i int, slack int64) *kind {
 	declared := (5 + rng.Int64N(40)) * minute
 	off := math.Exp((rng.Float64()*2 - 1) * math.Log(5))
-	k := &kind{noisy: i%3 == 1, trueTime: max(int64(float64(declared)*off), minute)}
+	k := &kind{noisy: i%3 == 1, trueRunTime: max(int64(float64(declared)*off), minute)}
 	k.job = market.Job{Name: fmt.Sprint("job-", i), Team: "team", Class: market.ClassBatch, RunTimeMS: declared,
 		MilliCPU: 1000 * (1 + rng.Int64N(4)), MemoryMB: 1000 * (1 + rng.Int64N(4))}
 	if slack > 0 {
-		k.job.DeadlineMS = k.trueTime + slack + rng.Int64N(3*hour)
+		k.job.DeadlineMS = k.trueRunTime + slack + rng.Int64N(3*hour)
 	}
 	base := 0.001 + 0.003*rng.Float64()
 	if k.noisy {
@@ -134,15 +136,16 @@
 	return k
 }
 
-// drawArrivals spreads each kind over the day, with one wave of a noisy kind.
+// drawArrivals spreads the tasks of each kind over the day, and adds a wave of 60 tasks of a noisy
+// kind one hour into the peak and two cancellations.
 func (s *scenario) drawArrivals(rng *rand.Rand) {
-	room := float64(s.workers) * float64(s.capacity.MilliCPU-s.kept) * 24 * float64(hour)
+	capacity := float64(s.workers) * float64(s.capacity.MilliCPU-s.reservedCPU) * 24 * float64(hour)
 	for _, k := range s.kinds {
-		work := room * loadFactor / float64(len(s.kinds))
-		total := int(work / float64(k.job.MilliCPU) / float64(k.trueTime))
+		work := capacity * loadFactor / float64(len(s.kinds))
+		total := int(work / float64(k.job.MilliCPU) / float64(k.trueRunTime))
 		for total > 0 {
 			n := min(total, 1+rng.IntN(30))
-			at := rng.Int64N(dayLong-k.job.DeadlineMS/2-4*hour) / step * step
+			at := rng.Int64N(dayLength-k.job.DeadlineMS/2-4*hour) / step * step
 			s.arrivals = append(s.arrivals, arrival{at, k, n})
 			total -= n
 		}
@@ -152,7 +155,7 @@
 	s.cancels = append(s.cancels, arrival{(s.peak[0] + 2) * hour, s.kinds[2], 0}, arrival{20 * hour, s.kinds[0], 0})
 }
 
-// loadFactor is the part of the day's processors that the batch work asks for.
+// loadFactor is the part of the day's free processor time that batch work requests.
 const loadFactor = 0.35
 
 func (s *scenario) drawFailures(rng *rand.Rand) {
@@ -160,11 +163,11 @@
 	s.failing = window{rng.IntN(s.workers), from, from + 2*hour}
 	for range 2 {
 		from := rng.Int64N(20) * hour
-		s.lost = append(s.lost, window{rng.IntN(s.workers), from, from + 30*minute})
+		s.outages = append(s.outages, window{rng.IntN(s.workers), from, from + 30*minute})
 	}
 }
 
-// load is the used part of the service's slots at a time of day.
+// load returns the used part of the service's slots at a time of day, 0 to 1.
 func (s *scenario) load(now int64, rng *rand.Rand) float64 {
 	h := float64(now) / float64(hour)
 	mid, width := float64(s.peak[0]+s.peak[1])/2, float64(s.peak[1]-s.peak[0])/2
--- a/score/score.go
+++ b/score/score.go
@@ -14,20 +14,22 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Row is one policy's day on one deployment, averaged over seeds.
+// Row is the result of one policy on one deployment. Latencies and core hours are averaged over the
+// seeds, task, deadline, eviction and throttle counts are summed, and Urgent is the maximum.
 type Row struct {
 	Deployment string  `json:"deployment"`
 	Policy     string  `json:"policy"`
 	P99        float64 `json:"p99_against_alone"`
 	P999       float64 `json:"p99_9_against_alone"`
-	// PeakP99 is the 99th percentile while a preset weighs only tail latency.
+	// PeakP99 is the 99th percentile while the preset weighs tail latency only.
 	PeakP99   float64 `json:"peak_p99_against_alone"`
 	DoneHours float64 `json:"batch_core_hours"`
 	Tasks     int     `json:"tasks"`
 	Done      int     `json:"done"`
 	Deadlines int     `json:"deadlines"`
 	Met       int     `json:"deadlines_met"`
-	// BatchDeadlines fall into a time whose preset weighs throughput.
+	// BatchDeadlines counts the deadlines at times when the preset favours throughput, BatchMet
+	// those of them that were met.
 	BatchDeadlines int     `json:"batch_deadlines"`
 	BatchMet       int     `json:"batch_deadlines_met"`
 	Evictions      int     `json:"evictions"`
@@ -36,16 +38,18 @@
 	Urgent         float64 `json:"longest_urgent_start_s"`
 }
 
-// contender is a policy with what it is allowed to know.
-type contender struct {
+// candidate is a policy under comparison. With learned set, the cost model learns from measurements
+// and failing workers are quarantined; with oracle set, the policy gets the true costs, run times
+// and loads instead.
+type candidate struct {
 	name    string
 	policy  placement.Policy
 	oracle  bool
 	learned bool
 }
 
-func contenders() []contender {
-	return []contender{
+func candidates() []candidate {
+	return []candidate{
 		{name: "first-fit", policy: placement.FirstFit{}},
 		{name: "random", policy: placement.Random{}},
 		{name: "reactive", policy: placement.Reactive{}},
@@ -54,16 +58,18 @@
 	}
 }
 
-// The seeds: one half is for tuning, the other for the reported table.
+// The seeds for tuning parameters and for the reported table are disjoint, so that parameters are
+// not fitted to the reported results.
 var (
 	TuningSeeds = []uint64{101, 102, 103}
 	ReportSeeds = []uint64{201, 202, 203}
 )
 
-// Run plays all policies on both deployments and returns the averages.
+// Run simulates all policies on both deployments with each seed and returns one row for each pair of
+// deployment and policy.
 func Run(seeds []uint64) ([]Row, error) {
 	draw := []func(*rand.Rand) *scenario{guild, cooperative}
-	list := contenders()
+	list := candidates()
 	rows := make([][]Row, len(draw)*len(list))
 	for i := range rows {
 		rows[i] = make([]Row, len(seeds))
@@ -113,17 +119,19 @@
 	return out
 }
 
-// latencySigma spreads a service's latencies when it runs alone (lognormal).
+// latencySigma is the standard deviation of the logarithm of a service's latencies when it runs
+// alone; they are lognormal.
 const latencySigma = 0.5
 
-// samplesPerBucket is how finely the latency distribution is drawn.
+// samplesPerBucket is a fiftieth of the number of points that represent the latency distribution of
+// one slowdown bucket.
 const samplesPerBucket = 40
 
-// slowdowns returns a quantile of the latency of all requests, relative to the
-// same quantile when the service runs alone.
-func slowdowns(list []weighted, q float64) float64 {
+// relativeQuantile returns the q-quantile of the latency of all requests, relative to the same
+// quantile when the service runs alone.
+func relativeQuantile(list []weightedSlowdown, q float64) float64 {
 	type point struct{ latency, requests float64 }
-	buckets := make(map[int]float64) // logarithm of slowdown, in hundredths
+	buckets := make(map[int]float64) // requests by the logarithm of the slowdown, in hundredths
 	for _, w := range list {
 		buckets[int(math.Round(math.Log(w.slowdown)*100))] += w.requests
 	}
@@ -149,17 +157,18 @@
 
 func quantileOfNormal(p float64) float64 { return math.Sqrt2 * math.Erfinv(2*p-1) }
 
-// WriteTable prints the rows as a tab-separated table.
+// WriteTable writes the rows as a tab-separated table. OF ORACLE is the batch work done relative to
+// the oracle on the same deployment.
 func WriteTable(w io.Writer, rows []Row) {
 	fmt.Fprintln(w, "DEPLOYMENT\tPOLICY\tPEAK P99\tDAY P99\tDAY P99.9\tBATCH CORE H\tOF ORACLE\tMISSED\tMISSED IN BATCH TIME\tEVICTIONS\tTHROTTLES\tLOST CORE H\tURGENT START S")
-	best := make(map[string]float64)
+	oracleHours := make(map[string]float64)
 	for _, r := range rows {
 		if r.Policy == "oracle" {
-			best[r.Deployment] = r.DoneHours
+			oracleHours[r.Deployment] = r.DoneHours
 		}
 	}
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f\t%.1f%%\t%d of %d\t%d of %d\t%d\t%d\t%.1f\t%.1f\n", r.Deployment, r.Policy, r.PeakP99, r.P99, r.P999, r.DoneHours,
-			100*r.DoneHours/best[r.Deployment], r.Deadlines-r.Met, r.Deadlines, r.BatchDeadlines-r.BatchMet, r.BatchDeadlines, r.Evictions, r.Throttles, r.LostHours, r.Urgent)
+			100*r.DoneHours/oracleHours[r.Deployment], r.Deadlines-r.Met, r.Deadlines, r.BatchDeadlines-r.BatchMet, r.BatchDeadlines, r.Evictions, r.Throttles, r.LostHours, r.Urgent)
 	}
 }
--- a/score/world.go
+++ b/score/world.go
@@ -14,32 +14,32 @@
 	"github.com/waxwinghaven/waxwinghaven/worker"
 )
 
-// Times of the mechanism around the decisions, in milliseconds.
+// Parameters of the simulated control and workers. Times are in milliseconds.
 const (
-	reportLag  = 60 * second // until a measurement of latency reaches the policy
-	startDelay = 600         // a plan, its commit, the next renewal, the start
-	stopDelay  = 900         // the same for a stop, with its checkpoint
-	moveCost   = 30 * second // work lost by a checkpoint and a start elsewhere
-	saveEvery  = 10 * minute // checkpoints that a task makes by itself
-	passes     = 4           // scheduling passes within one step
-
-	throttledPart = 0.5 // of speed and cost, as the worker's throttle is
+	reportLag          = 60 * second // until a latency measurement reaches the policy
+	startDelay         = 600         // for a plan, its commit, the next renewal and the start
+	stopDelay          = 900         // the same for a stop with its checkpoint
+	moveCost           = 30 * second // work lost by a checkpoint and a start on another worker
+	checkpointInterval = 10 * minute // between the checkpoints that a running task saves
+	passesPerStep      = 4           // scheduling passes within one step
+
+	throttledFactor = 0.5 // factor for a throttled task's speed and cost, as on workers
 )
 
-// box is one worker.
-type box struct {
-	name     string
-	load     float64
-	slowdown float64 // true, now
-	reports  []report
-	seen     report // the newest that has arrived
-	late     int
-	health   membership.Health
-	done     uint64
-	failed   uint64
+// simWorker is a simulated worker.
+type simWorker struct {
+	name        string
+	load        float64
+	slowdown    float64 // true value at present
+	reports     []report
+	latest      report // the newest report that has reached the policy
+	lateReports int    // consecutive reports above the preset's bound
+	health      membership.Health
+	done        uint64
+	failed      uint64
 }
 
-// report is a measurement, with what shared the worker when it was taken.
+// report is a latency measurement, with the number of tasks on the worker by job at that time.
 type report struct {
 	at       int64
 	load     float64
@@ -47,47 +47,47 @@
 	jobs     map[string]int
 }
 
-// progress is what is true of one task.
+// progress is the true state of one task.
 type progress struct {
-	kind  *kind
-	left  int64 // milliseconds of work
-	slow  bool  // throttled: half the speed, half the cost
-	saved int64 // of left, at the last checkpoint
+	kind         *kind
+	remaining    int64 // work in milliseconds
+	throttled    bool  // runs at half the speed and half the cost
+	checkpointed int64 // value of remaining at the last checkpoint
 }
 
-// world is one policy's day.
+// world simulates one day under one policy.
 type world struct {
 	s       *scenario
 	policy  placement.Policy
 	oracle  bool
-	learned bool // learns costs and quarantines
+	learned bool // learns costs and quarantines failing workers
 	rng     *rand.Rand
 	now     int64
 	index   uint64
 	tasks   *lease.State
 	members *membership.State
-	boxes   []*box
+	workers []*simWorker
 	truth   map[string]*progress
 	model   *interference.Model
 	times   *lease.RunTimes
-	res     Row
-	samples []weighted // of the whole day
-	peak    []weighted // while a preset weighs only tail latency
-	urgent  []float64
-	pending map[string]int64 // urgent tasks not yet started: when they came
+	row     Row
+	samples []weightedSlowdown // of the whole day
+	peak    []weightedSlowdown // while the preset weighs tail latency only
+	urgent  []float64          // delays of urgent starts, in seconds
+	pending map[string]int64   // submission times of urgent tasks not yet started
 }
 
-// weighted is a slowdown with the requests that met it.
-type weighted struct{ slowdown, requests float64 }
+// weightedSlowdown is a slowdown with the relative number of requests that it affected.
+type weightedSlowdown struct{ slowdown, requests float64 }
 
-func newWorld(s *scenario, p contender, seed uint64) *world {
+func newWorld(s *scenario, p candidate, seed uint64) *world {
 	w := &world{s: s, policy: p.policy, oracle: p.oracle, learned: p.learned, rng: rand.New(rand.NewPCG(seed, 99)),
 		tasks: lease.NewState(), members: membership.NewState(), truth: make(map[string]*progress), model: interference.NewModel(),
 		times: lease.NewRunTimes(), pending: make(map[string]int64)}
-	w.res = Row{Deployment: s.name, Policy: p.name}
+	w.row = Row{Deployment: s.name, Policy: p.name}
 	for i := range s.workers {
-		b := &box{name: fmt.Sprintf("w%02d", i), slowdown: 1}
-		w.boxes = append(w.boxes, b)
+		b := &simWorker{name: fmt.Sprintf("w%02d", i), slowdown: 1}
+		w.workers = append(w.workers, b)
 		w.announce(i)
 	}
 	return w
@@ -95,45 +95,45 @@
 
 func (w *world) announce(i int) {
 	w.index++
-	w.members.ApplyAnnounce(membership.Member{Agent: w.boxes[i].name, Address: "127.0.0.1:1", Boot: fmt.Sprint(w.index),
+	w.members.ApplyAnnounce(membership.Member{Agent: w.workers[i].name, Address: "127.0.0.1:1", Boot: fmt.Sprint(w.index),
 		DataCentre: fmt.Sprint("dc", i%w.s.centres), Rack: fmt.Sprint("rack", i/3), Capacity: w.s.capacity, Market: "m", Service: "s"}, w.index)
 }
 
-// run plays one day. What is still running at its end is not counted as done.
+// run simulates one day. Tasks that still run at its end are not counted as done.
 func (w *world) run() Row {
 	sort.Slice(w.s.arrivals, func(i, j int) bool { return w.s.arrivals[i].at < w.s.arrivals[j].at })
 	next := 0
-	for w.now = 0; w.now < dayLong; w.now += step {
+	for w.now = 0; w.now < dayLength; w.now += step {
 		for next < len(w.s.arrivals) && w.s.arrivals[next].at <= w.now {
 			w.submit(next, w.s.arrivals[next])
 			next++
 		}
 		w.cancel()
-		w.fail()
+		w.injectFailures()
 		w.measure()
-		w.work()
+		w.runTasks()
 		w.schedule()
 	}
-	w.finish()
-	return w.res
+	w.summarise()
+	return w.row
 }
 
 func (w *world) submit(n int, a arrival) {
 	id := fmt.Sprint("s", n)
 	job := a.kind.job
 	if _, err := w.tasks.ApplySubmit(lease.Submit{ID: id, Market: "m", Job: job.Name, Count: a.count, IssuedMS: w.now}, &job, w.now); err != nil {
-		panic(err) // the scenario is wrong
+		panic(err) // the scenario is invalid
 	}
 	for i := range a.count {
 		task := fmt.Sprintf("%s/%d", id, i)
-		// Single tasks differ from their kind a little.
-		left := int64(float64(a.kind.trueTime) * (0.8 + 0.4*float64((n*31+i*17)%100)/100))
-		w.truth[task] = &progress{kind: a.kind, left: left, saved: left}
+		// Run times of single tasks vary by up to a fifth around that of their kind.
+		left := int64(float64(a.kind.trueRunTime) * (0.8 + 0.4*float64((n*31+i*17)%100)/100))
+		w.truth[task] = &progress{kind: a.kind, remaining: left, checkpointed: left}
 		if job.Urgent {
 			w.pending[task] = w.now
 		}
-		if !a.kind.never {
-			w.res.Tasks++
+		if !a.kind.tooLarge {
+			w.row.Tasks++
 		}
 	}
 }
@@ -142,18 +142,19 @@
 	for _, c := range w.s.cancels {
 		if c.at == w.now {
 			a := w.tasks.ApplyCancel(lease.Cancel{Market: "m", Job: c.kind.job.Name}, w.now)
-			w.res.Tasks -= a.Cancelled + a.Stopping
+			w.row.Tasks -= a.Cancelled + a.Stopping
 		}
 	}
 }
 
-// fail loses instances, brings them back, and quarantines.
-func (w *world) fail() {
-	for _, l := range w.s.lost {
-		name := w.boxes[l.worker].name
+// injectFailures takes workers down and brings them back as the scenario says. Once a minute it
+// applies quarantine, if the policy learns.
+func (w *world) injectFailures() {
+	for _, l := range w.s.outages {
+		name := w.workers[l.worker].name
 		switch w.now {
 		case l.from:
-			w.lose(name)
+			w.loseWorker(name)
 		case l.to:
 			w.announce(l.worker)
 		}
@@ -168,7 +169,7 @@
 }
 
 func (w *world) health(agent string) *membership.Health {
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		if b.name == agent {
 			b.health.Note(b.done, b.failed)
 			return &b.health
@@ -177,190 +178,191 @@
 	return nil
 }
 
-func (w *world) lose(name string) {
+func (w *world) loseWorker(name string) {
 	m := w.members.Members[name]
 	w.index++
 	w.members.ApplyMove(membership.Move{Agent: name, Boot: m.Boot, Phase: membership.Down}, w.index, w.now)
 	for id := range w.tasks.On(name) {
 		p := w.truth[id]
-		w.res.LostHours += w.hours(id, p.saved-p.left)
-		p.left, p.slow = p.saved, false
+		w.row.LostHours += w.coreHours(id, p.checkpointed-p.remaining)
+		p.remaining, p.throttled = p.checkpointed, false
 	}
 	w.tasks.ApplyAgentLost(name, m.Boot, w.now)
 }
 
-func (w *world) hours(task string, ms int64) float64 {
+func (w *world) coreHours(task string, ms int64) float64 {
 	return float64(ms) / float64(hour) * float64(w.tasks.Tasks[task].Need.MilliCPU) / 1000
 }
 
-// measure computes every worker's true slowdown, takes a measurement once a
-// minute, and hands over those that have been on their way for long enough.
+// measure computes every worker's true slowdown, takes a noisy measurement once a minute, and
+// delivers the measurements that are at least reportLag old.
 func (w *world) measure() {
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		b.load = w.s.load(w.now, w.rng)
 		jobs, sum := make(map[string]int), 0.0
 		for _, o := range w.tasks.Orders(b.name) {
 			k := w.truth[o.Task].kind
 			cost, name := k.cost[interference.Band(b.load)], "m/"+k.job.Name
-			if w.truth[o.Task].slow {
-				cost, name = cost*throttledPart, name+worker.ThrottledSuffix
+			if w.truth[o.Task].throttled {
+				cost, name = cost*throttledFactor, name+worker.ThrottledSuffix
 			}
 			jobs[name]++
 			sum += cost
 		}
 		b.slowdown = math.Exp(sum)
-		w.samples = append(w.samples, weighted{b.slowdown, b.load})
+		w.samples = append(w.samples, weightedSlowdown{b.slowdown, b.load})
 		if w.s.preset(w.now).TailWeight == 1 {
-			w.peak = append(w.peak, weighted{b.slowdown, b.load})
+			w.peak = append(w.peak, weightedSlowdown{b.slowdown, b.load})
 		}
 		noise := math.Exp(0.08 * w.rng.NormFloat64())
 		if w.now%minute == 0 {
 			b.reports = append(b.reports, report{w.now, b.load, b.slowdown * noise, jobs})
 		}
-		w.arrive(b)
+		w.deliverReports(b)
 	}
 }
 
-func (w *world) arrive(b *box) {
+func (w *world) deliverReports(b *simWorker) {
 	for len(b.reports) > 0 && b.reports[0].at+reportLag <= w.now {
 		r := b.reports[0]
 		b.reports = b.reports[1:]
-		b.seen = r
+		b.latest = r
 		if w.learned && !w.oracle {
 			w.model.Observe("m/s", r.load, r.jobs, r.slowdown)
 		}
 		if r.slowdown > w.s.preset(w.now).MaxSlowdown {
-			b.late++
+			b.lateReports++
 		} else {
-			b.late = 0
+			b.lateReports = 0
 		}
 	}
 }
 
-// work lets the running tasks go on by one step.
-func (w *world) work() {
-	for i, b := range w.boxes {
+// runTasks advances the running tasks by one step.
+func (w *world) runTasks() {
+	for i, b := range w.workers {
 		for _, o := range w.tasks.Orders(b.name) {
-			w.goOn(i, b, o)
+			w.runTask(i, b, o)
 		}
 	}
 }
 
-func (w *world) goOn(i int, b *box, o lease.Order) {
+func (w *world) runTask(i int, b *simWorker, o lease.Order) {
 	p, t := w.truth[o.Task], w.tasks.Tasks[o.Task]
 	switch {
 	case o.Stop == lease.StopCancel:
-		w.end(b, o, lease.OutcomeStopped)
+		w.endAttempt(b, o, lease.OutcomeStopped)
 	case o.Stop == lease.StopCheckpoint:
-		w.evicted(b, o, p)
-	case w.s.failing.holds(i, w.now):
+		w.completeEviction(b, o, p)
+	case w.s.failing.covers(i, w.now):
 		b.failed++
-		w.end(b, o, lease.OutcomeFailed)
+		w.endAttempt(b, o, lease.OutcomeFailed)
 	default:
-		if p.slow {
-			p.left -= int64(float64(step) * throttledPart)
+		if p.throttled {
+			p.remaining -= int64(float64(step) * throttledFactor)
 		} else {
-			p.left -= step
+			p.remaining -= step
 		}
-		if (w.now-t.PlacedAt)%saveEvery == 0 {
-			p.saved = p.left
+		if (w.now-t.PlacedAt)%checkpointInterval == 0 {
+			p.checkpointed = p.remaining
 		}
-		if p.left <= 0 {
-			w.finished(b, o, p, t)
+		if p.remaining <= 0 {
+			w.completeTask(b, o, p, t)
 		}
 	}
 }
 
-func (w *world) evicted(b *box, o lease.Order, p *progress) {
-	w.res.Evictions++
-	w.res.LostHours += w.hours(o.Task, moveCost)
-	p.left += moveCost
-	p.saved, p.slow = p.left, false
-	w.end(b, o, lease.OutcomeStopped)
+func (w *world) completeEviction(b *simWorker, o lease.Order, p *progress) {
+	w.row.Evictions++
+	w.row.LostHours += w.coreHours(o.Task, moveCost)
+	p.remaining += moveCost
+	p.checkpointed, p.throttled = p.remaining, false
+	w.endAttempt(b, o, lease.OutcomeStopped)
 }
 
-func (w *world) finished(b *box, o lease.Order, p *progress, t *lease.Task) {
+func (w *world) completeTask(b *simWorker, o lease.Order, p *progress, t *lease.Task) {
 	b.done++
-	w.res.Done++
-	w.res.DoneHours += float64(p.kind.trueTime) / float64(hour) * float64(o.Need.MilliCPU) / 1000
+	w.row.Done++
+	w.row.DoneHours += float64(p.kind.trueRunTime) / float64(hour) * float64(o.Need.MilliCPU) / 1000
 	w.countDeadline(t, w.now <= t.Deadline)
-	w.end(b, o, lease.OutcomeDone)
+	w.endAttempt(b, o, lease.OutcomeDone)
 }
 
-// countDeadline counts a deadline, and by itself one that falls into a time
-// whose preset weighs throughput: only there is batch to come first.
+// countDeadline counts a deadline. Deadlines at times when the preset favours throughput are also
+// counted separately, since only then does batch work have precedence.
 func (w *world) countDeadline(t *lease.Task, met bool) {
 	if t.Deadline == 0 {
 		return
 	}
-	count := func(all, kept *int) {
-		*all++
+	count := func(total, metCount *int) {
+		*total++
 		if met {
-			*kept++
+			*metCount++
 		}
 	}
-	count(&w.res.Deadlines, &w.res.Met)
-	if w.s.preset(min(t.Deadline, dayLong-1)).TailWeight < 0.5 {
-		count(&w.res.BatchDeadlines, &w.res.BatchMet)
+	count(&w.row.Deadlines, &w.row.Met)
+	if w.s.preset(min(t.Deadline, dayLength-1)).TailWeight < 0.5 {
+		count(&w.row.BatchDeadlines, &w.row.BatchMet)
 	}
 }
 
-func (w *world) end(b *box, o lease.Order, outcome lease.Outcome) {
+func (w *world) endAttempt(b *simWorker, o lease.Order, outcome lease.Outcome) {
 	w.tasks.ApplyEnd(b.name, lease.End{Task: o.Task, Attempt: o.Attempt, Outcome: outcome, Checkpoint: "saved", Reason: "score"}, w.now)
 }
 
-// schedule makes a few passes, as the control would within a step, so that an
-// urgent task can be placed after those it displaces have been stopped.
+// schedule runs up to passesPerStep passes, as the control would within a step, so that an urgent
+// task can be placed after the tasks that it preempts have stopped.
 func (w *world) schedule() {
 	w.times.Update(w.tasks)
-	for pass := range passes {
+	for pass := range passesPerStep {
 		plan := w.policy.Plan(w.snapshot(uint64(pass)))
 		w.throttle(plan)
 		w.tasks.ApplyPlan(plan.Plan, lease.Limits{Room: w.room, Quota: noQuota}, w.now)
-		w.noteUrgent(pass)
+		w.recordUrgentStarts(pass)
 		if len(w.pending) == 0 {
 			return
 		}
-		w.stopEvicted()
+		w.completeEvictions()
 	}
 }
 
-// stopEvicted confirms the stops at once when urgent work waits for them.
-func (w *world) stopEvicted() {
-	for _, b := range w.boxes {
+// completeEvictions confirms all stops with a checkpoint immediately instead of in the next step,
+// because urgent tasks wait for the capacity.
+func (w *world) completeEvictions() {
+	for _, b := range w.workers {
 		for _, o := range w.tasks.Orders(b.name) {
 			if o.Stop == lease.StopCheckpoint {
-				w.evicted(b, o, w.truth[o.Task])
+				w.completeEviction(b, o, w.truth[o.Task])
 			}
 		}
 	}
 }
 
-// throttle takes effect at once, and a worker where it did must be late again
-// before more is done there.
+// throttle applies throttling and releases, which take effect immediately. It resets the count of
+// late reports on a worker with newly throttled tasks, so that the policy waits for the effect.
 func (w *world) throttle(d placement.Decision) {
 	for _, a := range d.Throttle {
-		w.truth[a.Task].slow = true
-		w.res.Throttles++
-		for _, b := range w.boxes {
+		w.truth[a.Task].throttled = true
+		w.row.Throttles++
+		for _, b := range w.workers {
 			if b.name == a.Agent {
-				b.late = 0
+				b.lateReports = 0
 			}
 		}
 	}
 	for _, a := range d.Release {
-		w.truth[a.Task].slow = false
+		w.truth[a.Task].throttled = false
 	}
 }
 
-func (w *world) noteUrgent(pass int) {
-	for id, came := range w.pending {
+func (w *world) recordUrgentStarts(pass int) {
+	for id, submittedAt := range w.pending {
 		t := w.tasks.Tasks[id]
 		if t == nil || t.Phase == lease.Waiting {
 			continue
 		}
 		delete(w.pending, id)
-		wait := w.now - came + startDelay
+		wait := w.now - submittedAt + startDelay
 		if pass > 0 {
 			wait += stopDelay
 		}
@@ -370,26 +372,26 @@
 
 func noQuota(string) resource.Vector { return resource.Vector{} }
 
-func (w *world) kept() resource.Vector { return resource.Vector{MilliCPU: w.s.kept} }
+func (w *world) reserved() resource.Vector { return resource.Vector{MilliCPU: w.s.reservedCPU} }
 
-func (w *world) room(agent string) lease.Room { return w.members.Room(agent, w.kept()) }
+func (w *world) room(agent string) lease.Room { return w.members.Room(agent, w.reserved()) }
 
 func (w *world) snapshot(pass uint64) *placement.Snapshot {
 	s := &placement.Snapshot{Now: w.now, Waiting: w.tasks.WaitingHeads(128), Quota: noQuota, TeamUse: w.tasks.TeamUse,
 		RunTime: w.times.Of, Costs: w.model, Seed: uint64(w.now) + pass, MaxPlacements: 512}
 	if w.oracle {
-		s.Costs, s.RunTime = w, w.trueTime
+		s.Costs, s.RunTime = w, w.trueRunTime
 	}
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		s.Workers = append(s.Workers, w.view(s, b))
 	}
 	return s
 }
 
-func (w *world) view(s *placement.Snapshot, b *box) placement.Worker {
+func (w *world) view(s *placement.Snapshot, b *simWorker) placement.Worker {
 	room := w.room(b.name)
 	v := placement.Worker{Agent: b.name, Boot: room.Boot, Open: room.Open, Total: room.Total, Free: room.Total.Sub(w.tasks.Reserved(b.name)),
-		Service: "m/s", Preset: w.s.preset(w.now), Load: b.seen.load, Slowdown: b.seen.slowdown, Late: b.late, Pressure: -1}
+		Service: "m/s", Preset: w.s.preset(w.now), Load: b.latest.load, Slowdown: b.latest.slowdown, Late: b.lateReports, Pressure: -1}
 	if w.oracle {
 		v.Load, v.Slowdown, v.Late = b.load, b.slowdown, 9
 	}
@@ -397,14 +399,15 @@
 		t := w.tasks.Tasks[o.Task]
 		v.BatchUsed += t.Need.MilliCPU
 		v.Running = append(v.Running, placement.Running{Task: t.ID, Attempt: t.Attempt, Market: "m", Job: t.Job, Need: t.Need,
-			Started: t.PlacedAt, Expected: s.RunTime(t), Deadline: t.Deadline, Urgent: t.Urgent, Evictable: t.Phase == lease.Placed, Throttled: w.truth[t.ID].slow})
+			Started: t.PlacedAt, Expected: s.RunTime(t), Deadline: t.Deadline, Urgent: t.Urgent, Evictable: t.Phase == lease.Placed, Throttled: w.truth[t.ID].throttled})
 	}
 	return v
 }
 
-func (w *world) trueTime(t *lease.Task) int64 { return w.truth[t.ID].left }
+func (w *world) trueRunTime(t *lease.Task) int64 { return w.truth[t.ID].remaining }
 
-// Cost tells the oracle the true costs.
+// Cost implements placement.Costs for the oracle. It returns the true cost of a job's task as both
+// values.
 func (w *world) Cost(_, _, job string, load float64) (mean, upper float64) {
 	for _, k := range w.s.kinds {
 		if k.job.Name == job {
@@ -415,20 +418,21 @@
 	return 0, 0
 }
 
-// finish turns the samples into the row's figures.
-func (w *world) finish() {
-	w.res.P99, w.res.P999 = slowdowns(w.samples, 0.99), slowdowns(w.samples, 0.999)
-	w.res.PeakP99 = slowdowns(w.peak, 0.99)
+// summarise computes the latencies, the remaining deadlines and the longest urgent start of the row.
+// Urgent is infinite if an urgent task never started.
+func (w *world) summarise() {
+	w.row.P99, w.row.P999 = relativeQuantile(w.samples, 0.99), relativeQuantile(w.samples, 0.999)
+	w.row.PeakP99 = relativeQuantile(w.peak, 0.99)
 	for _, t := range w.tasks.Tasks {
-		if !t.Over() && t.Deadline < dayLong {
+		if !t.Over() && t.Deadline < dayLength {
 			w.countDeadline(t, false)
 		}
 	}
 	sort.Float64s(w.urgent)
 	if n := len(w.urgent); n > 0 {
-		w.res.Urgent = w.urgent[n-1]
+		w.row.Urgent = w.urgent[n-1]
 	}
 	if len(w.pending) > 0 {
-		w.res.Urgent = math.Inf(1)
+		w.row.Urgent = math.Inf(1)
 	}
 }
