--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -89,10 +89,11 @@
 func processors(milli int) float64 { return float64(milli) / 1000 }
 
 // Terms of a worker's cost in addition to its load. They decide between workers of similar load.
-// Loads, which include the filling tasks, differ by at most 2.
+// Loads, which include the filling tasks, differ by at most 2, so a term above that outweighs any
+// difference in load.
 const (
-	// remoteRackCost applies to a worker on another rack than the data: the task takes
-	// RemoteFactor (measured: 1.5) times as long.
+	// remoteRackCost applies to a worker on another rack than the data, where the task takes 1.5
+	// times as long.
 	remoteRackCost = 1.0
 	// slowWorkerCost is multiplied by a worker's slowness, so that one whose runs take four times
 	// as long as expected is chosen last.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -31,8 +31,8 @@
 	// their own fault in up to 3 % of runs.
 	maxFailedShare = 0.5
 	minRuns        = 3
-	// firstPause is how long a worker is avoided before it is tried again. Each further time the
-	// pause is twice as long.
+	// firstPause is how long a worker is avoided before it is tried again. Each time it fails
+	// again the next pause is twice as long, up to maxPause.
 	firstPause = 2 * time.Second
 	maxPause   = 10 * time.Second
 	// maxSlowness limits the weight of one run: 100 times the expected duration tells no more
--- a/dispatch/racks.go
+++ b/dispatch/racks.go
@@ -6,8 +6,8 @@
 )
 
 // rackWait is how long a rack-sensitive step waits for capacity on one rack. Spread over racks
-// each task takes 1.5 to 3 times as long, and the shortest tasks measured take 0.6 s: beyond a
-// second, waiting costs more than it saves.
+// each task takes 1.5 to 3 times as long, and the shortest tasks take 0.6 s: beyond a second,
+// waiting costs more than it saves.
 const rackWait = time.Second
 
 // assignByRack assigns the waiting tasks of a group. Those of a rack-sensitive step go to one
--- a/dispatch/suspects.go
+++ b/dispatch/suspects.go
@@ -8,7 +8,7 @@
 
 // Suspects are tasks under which workers crashed. Any task that ran on a crashed worker may crash
 // the next one. Placed together again on the emptiest worker, as identical tasks are, they would
-// all crash with it each time and the guilty one could not be identified. So suspects are spread
+// all crash with it each time and the cause could not be identified. So suspects are spread
 // over workers where few standing tasks would be lost. A strong suspect gets a worker to itself:
 // nothing else starts there meanwhile, so that the next crash, or its absence, identifies the
 // cause.
--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -75,8 +75,8 @@
 }
 
 // survival gives, by age, the fraction of crashing tasks, in millionths, that have not crashed
-// their worker yet; between two points it is interpolated linearly. The values are assumed: most
-// such tasks crash while they start, and some while they work.
+// their worker yet; between two points it is interpolated linearly. It falls steeply at first and
+// has a long tail, because most such tasks crash while they start, and some while they work.
 var survival = []struct{ ageMS, fraction int64 }{
 	{0, 1_000_000}, {20, 500_000}, {100, 135_000}, {1000, 22_000}, {10_000, 9_000}, {clearAgeMS, 5_000}, {clearAgeMS * 60, 1_000},
 }
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -156,7 +156,8 @@
 	return len(p.Indexes)
 }
 
-// gangFits reports whether the workers can hold all members of a gang together.
+// gangFits reports whether the workers can hold all members of a gang together. It must be checked
+// before any member is placed.
 func (s *State) gangFits(g *Group, p *Placement, service string) bool {
 	need, _ := heldBy(g.Step())
 	members := make(map[string]int64)
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -63,7 +63,7 @@
 	if h.closing {
 		return false
 	}
-	if now.After(h.granted) { // grants may be recorded out of order
+	if now.After(h.granted) { // concurrent grants may be recorded out of order
 		h.granted = now
 	}
 	if end := now.Add(k.termWithMargin()); end.After(h.expires) {
--- a/lease/runtimes.go
+++ b/lease/runtimes.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// learn updates the estimate from a task that was never evicted. The others' times say nothing
-// about one run.
+// learn updates the estimate from a task that was never evicted. An evicted task ran in several
+// parts, so the time from its last placement to its end says nothing about a whole run.
 func (r *RunTimes) learn(t *Task) {
 	if t == nil || t.Phase != Done || t.Evictions > 0 || t.PlacedAt == 0 {
 		return
--- a/placement/mitigate.go
+++ b/placement/mitigate.go
@@ -40,8 +40,8 @@
 	for _, r := range best {
 		p.evict(r)
 	}
-	// Reserve the capacity being freed, so that the next urgent task in this pass
-	// doesn't count on it as well.
+	// Reserve the capacity being freed, so that the next urgent task in this pass frees more
+	// instead of counting on it as well.
 	w.Free = w.Free.Sub(t.Need)
 	w.Running = nil
 }
@@ -206,7 +206,8 @@
 const minRelief = 0.02
 
 // worthMoving reports whether evicting a task pays off: it doesn't for urgent tasks, tasks that
-// end sooner than the move takes, and tasks that would miss their deadline because of it.
+// end within twice the time that the move takes, and tasks that would miss their deadline because
+// of it.
 func (p *planner) worthMoving(r Running) bool {
 	left := r.Expected - (p.s.Now - r.Started)
 	if r.Urgent || left < 2*moveTimeMS {
