--- a/score/world.go
+++ b/score/world.go
@@ -57,24 +57,24 @@
 
 // world simulates one day under one policy.
 type world struct {
-	s       *scenario
-	policy  placement.Policy
-	oracle  bool
-	learned bool // learns costs and quarantines failing workers
-	rng     *rand.Rand
-	now     int64
-	index   uint64
-	tasks   *lease.State
-	members *membership.State
-	workers []*simWorker
-	truth   map[string]*progress
-	model   *interference.Model
-	times   *lease.RunTimes
-	row     Row
-	samples []weightedSlowdown // of the whole day
-	peak    []weightedSlowdown // while the preset weighs tail latency only
-	urgent  []float64          // delays of urgent starts, in seconds
-	pending map[string]int64   // submission times of urgent tasks not yet started
+	s          *scenario
+	policy     placement.Policy
+	oracle     bool
+	learned    bool // learns costs and quarantines failing workers
+	rng        *rand.Rand
+	now        int64
+	index      uint64
+	tasks      *lease.State
+	members    *membership.State
+	simWorkers []*simWorker
+	truth      map[string]*progress
+	model      *interference.Model
+	times      *lease.RunTimes
+	row        Row
+	samples    []weightedSlowdown // of the whole day
+	peak       []weightedSlowdown // while the preset weighs tail latency only
+	urgent     []float64          // delays of urgent starts, in seconds
+	pending    map[string]int64   // submission times of urgent tasks not yet started
 }
 
 // weightedSlowdown is a slowdown with the relative number of requests that it affected.
@@ -87,7 +87,7 @@
 	w.row = Row{Deployment: s.name, Policy: p.name}
 	for i := range s.workers {
 		b := &simWorker{name: fmt.Sprintf("w%02d", i), slowdown: 1}
-		w.workers = append(w.workers, b)
+		w.simWorkers = append(w.simWorkers, b)
 		w.announce(i)
 	}
 	return w
@@ -95,7 +95,7 @@
 
 func (w *world) announce(i int) {
 	w.index++
-	w.members.ApplyAnnounce(membership.Member{Agent: w.workers[i].name, Address: "127.0.0.1:1", Boot: fmt.Sprint(w.index),
+	w.members.ApplyAnnounce(membership.Member{Agent: w.simWorkers[i].name, Address: "127.0.0.1:1", Boot: fmt.Sprint(w.index),
 		DataCentre: fmt.Sprint("dc", i%w.s.centres), Rack: fmt.Sprint("rack", i/3), Capacity: w.s.capacity, Market: "m", Service: "s"}, w.index)
 }
 
@@ -151,7 +151,7 @@
 // applies quarantine, if the policy learns.
 func (w *world) injectFailures() {
 	for _, l := range w.s.outages {
-		name := w.workers[l.worker].name
+		name := w.simWorkers[l.worker].name
 		switch w.now {
 		case l.from:
 			w.loseWorker(name)
@@ -169,7 +169,7 @@
 }
 
 func (w *world) health(agent string) *membership.Health {
-	for _, b := range w.workers {
+	for _, b := range w.simWorkers {
 		if b.name == agent {
 			b.health.Note(b.done, b.failed)
 			return &b.health
@@ -197,7 +197,7 @@
 // measure computes every worker's true slowdown, takes a noisy measurement once a minute, and
 // delivers the measurements that are at least reportLag old.
 func (w *world) measure() {
-	for _, b := range w.workers {
+	for _, b := range w.simWorkers {
 		b.load = w.s.load(w.now, w.rng)
 		jobs, sum := make(map[string]int), 0.0
 		for _, o := range w.tasks.Orders(b.name) {
@@ -240,7 +240,7 @@
 
 // runTasks advances the running tasks by one step.
 func (w *world) runTasks() {
-	for i, b := range w.workers {
+	for i, b := range w.simWorkers {
 		for _, o := range w.tasks.Orders(b.name) {
 			w.runTask(i, b, o)
 		}
@@ -329,7 +329,7 @@
 // completeEvictions confirms all stops with a checkpoint immediately instead of in the next step,
 // because urgent tasks wait for the capacity.
 func (w *world) completeEvictions() {
-	for _, b := range w.workers {
+	for _, b := range w.simWorkers {
 		for _, o := range w.tasks.Orders(b.name) {
 			if o.Stop == lease.StopCheckpoint {
 				w.completeEviction(b, o, w.truth[o.Task])
@@ -344,7 +344,7 @@
 	for _, a := range d.Throttle {
 		w.truth[a.Task].throttled = true
 		w.row.Throttles++
-		for _, b := range w.workers {
+		for _, b := range w.simWorkers {
 			if b.name == a.Agent {
 				b.lateReports = 0
 			}
@@ -382,7 +382,7 @@
 	if w.oracle {
 		s.Costs, s.RunTime = w, w.trueRunTime
 	}
-	for _, b := range w.workers {
+	for _, b := range w.simWorkers {
 		s.Workers = append(s.Workers, w.view(s, b))
 	}
 	return s
