--- a/score/scenario.go
+++ b/score/scenario.go
@@ -102,10 +102,10 @@
 	}
 	s.drawArrivals(rng)
 	s.drawFailures(rng)
-	never := drawKind(rng, 90, slack)
-	never.tooLarge, never.job.MilliCPU = true, s.capacity.MilliCPU*2
-	s.kinds = append(s.kinds, never)
-	s.arrivals = append(s.arrivals, arrival{hour, never, 20})
+	tooLarge := drawKind(rng, 90, slack)
+	tooLarge.tooLarge, tooLarge.job.MilliCPU = true, s.capacity.MilliCPU*2
+	s.kinds = append(s.kinds, tooLarge)
+	s.arrivals = append(s.arrivals, arrival{hour, tooLarge, 20})
 	urgent := drawKind(rng, 91, 0)
 	urgent.job.Urgent, urgent.job.MilliCPU, urgent.trueRunTime, urgent.noisy = true, 4000, 2*minute, false
 	urgent.cost = [interference.Bands]float64{}
--- a/score/world.go
+++ b/score/world.go
@@ -127,8 +127,8 @@
 	for i := range a.count {
 		task := fmt.Sprintf("%s/%d", id, i)
 		// Run times of single tasks vary by up to a fifth around that of their kind.
-		left := int64(float64(a.kind.trueRunTime) * (0.8 + 0.4*float64((n*31+i*17)%100)/100))
-		w.truth[task] = &progress{kind: a.kind, remaining: left, checkpointed: left}
+		remaining := int64(float64(a.kind.trueRunTime) * (0.8 + 0.4*float64((n*31+i*17)%100)/100))
+		w.truth[task] = &progress{kind: a.kind, remaining: remaining, checkpointed: remaining}
 		if job.Urgent {
 			w.pending[task] = w.now
 		}
