--- a/cmd/waxwinghaven/bench.go
+++ b/cmd/waxwinghaven/bench.go
@@ -28,7 +28,7 @@
 }
 
 func (c *cli) compareCommand() {
-	cmd := c.app.Command("compare", "Sends the same load to several addresses in turn and prints medians, and differences to the first.\n\nExample: waxwinghaven compare direct=127.0.0.21:7107 system=127.0.0.11:7105 --path /vault/x")
+	cmd := c.app.Command("compare", "Sends the same load to several addresses in turn and prints medians, with the added latency and the relative throughput compared to the first.\n\nExample: waxwinghaven compare direct=127.0.0.21:7107 system=127.0.0.11:7105 --path /vault/x")
 	targets := cmd.Arg("name=address", "What to compare; the first is the baseline.").Required().Strings()
 	o := load.Options{Host: "localhost"}
 	cmd.Flag("path", "The path.").Default("/").StringVar(&o.Path)
--- a/cmd/waxwinghaven/market.go
+++ b/cmd/waxwinghaven/market.go
@@ -212,8 +212,8 @@
 }
 
 // waitInForce waits until every responsive instance has the newest revision.
-func (c *cli) waitInForce(most time.Duration) error {
-	if most == 0 {
+func (c *cli) waitInForce(maxWait time.Duration) error {
+	if maxWait == 0 {
 		return nil
 	}
 	client, err := c.client()
@@ -227,7 +227,7 @@
 			fmt.Printf("in force everywhere after %v\n", time.Since(start).Round(time.Millisecond))
 			return nil
 		}
-		if time.Since(start) > most {
+		if time.Since(start) > maxWait {
 			return fmt.Errorf("not yet in force at %v; see 'waxwinghaven status'", behind)
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/waxwinghaven/task.go
+++ b/cmd/waxwinghaven/task.go
@@ -60,8 +60,8 @@
 	return c.waitFinished(client, s, wait)
 }
 
-func (c *cli) waitFinished(client *operator.Client, s lease.Submit, most time.Duration) error {
-	deadline := time.Now().Add(most)
+func (c *cli) waitFinished(client *operator.Client, s lease.Submit, maxWait time.Duration) error {
+	deadline := time.Now().Add(maxWait)
 	for time.Now().Before(deadline) {
 		tasks, err := client.Tasks(operator.TaskQuery{ID: s.ID, Limit: s.Count})
 		if err != nil {
@@ -84,7 +84,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	return fmt.Errorf("the tasks of %s are not over after %v; see 'waxwinghaven task list --id %s'", s.ID, most, s.ID)
+	return fmt.Errorf("the tasks of %s are not over after %v; see 'waxwinghaven task list --id %s'", s.ID, maxWait, s.ID)
 }
 
 func (c *cli) cancelCommand(top *kingpin.CmdClause) {
--- a/cmd/waxwinghaven/wave.go
+++ b/cmd/waxwinghaven/wave.go
@@ -27,7 +27,7 @@
 	})
 
 	top := c.app.Command("wave", "Starts and lists waves of upkeep.")
-	start := top.Command("start", "Asks for the upkeep of machines, each once; sent again it stays one wave.\n\nExample: waxwinghaven wave start 7 m-0a3f1 m-141e8 --within 10m --at-once 1")
+	start := top.Command("start", "Starts a wave, which takes each machine down once for its upkeep; sent again under the same number it is still one wave.\n\nExample: waxwinghaven wave start 7 m-0a3f1 m-141e8 --within 10m --at-once 1")
 	w := upkeep.Wave{}
 	start.Arg("number", "The wave's number, unique among waves.").Required().Uint64Var(&w.Number)
 	start.Arg("machines", "The machines' names, as `machines list` has them.").Required().StringsVar(&w.Machines)
--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -14,7 +14,7 @@
 // is lost, and a copy of that order, based on a revision before the return, arrives last through
 // another replica. It must not take the data centre out of service again: nothing would start there
 // although no operator wants that.
-func TestOvertakenOrderChangesNothing(t *testing.T) {
+func TestSupersededOrderChangesNothing(t *testing.T) {
 	s := NewState()
 	out, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned, ID: "o-1"}, 5)
 	if err != nil || out.Revision != 5 || !s.Cordoned("hall-a") || s.Draining("hall-a") {
@@ -43,7 +43,7 @@
 
 // An order that leaves the phase unchanged also raises the revision: an order that is based on the
 // revision before it is out of date.
-func TestOrderThatChangesNothingOvertakesToo(t *testing.T) {
+func TestOrderWithoutEffectSupersedesEarlierOnes(t *testing.T) {
 	s := NewState()
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: InService}, 3); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 
 // An order without an ID is sent to several replicas until one answers. Copies that arrive after the
 // first one has taken effect must get the same answer.
-func TestCopiesOfAnOrderWithoutANameAreAcknowledged(t *testing.T) {
+func TestCopiesOfAnOrderWithoutAnIDAreAcknowledged(t *testing.T) {
 	s := NewState()
 	for i := range 3 {
 		a, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned}, uint64(5+i))
@@ -66,7 +66,7 @@
 }
 
 // The orders kept are bounded, and a repetition of one no longer kept must have no effect.
-func TestForgottenOrderFailsOnItsBase(t *testing.T) {
+func TestDroppedOrderFailsOnItsBase(t *testing.T) {
 	s := NewState()
 	for i := range 3 * maxApplied {
 		o := Order{Name: "hall-a", Phase: Phase(i % 2), ID: fmt.Sprint(i), Base: uint64(i)}
--- a/interference/forecast_test.go
+++ b/interference/forecast_test.go
@@ -63,7 +63,7 @@
 	w := newForecaster()
 	for _, period := range []float64{9, 14, 22} {
 		w.periods = Periods{}
-		var forecastMiss, lastMiss, meanMiss float64
+		var forecastSquares, lastSquares, meanSquares float64
 		n := 0
 		for range 12 {
 			mean, amplitude, phase := 2.5+0.3*w.rng.NormFloat64(), 0.9+0.4*w.rng.Float64(), 2*math.Pi*w.rng.Float64()
@@ -72,16 +72,16 @@
 				if at < 10 {
 					return
 				}
-				forecastMiss += square(forecast - truth)
-				lastMiss += square(own(at) - truth)
-				meanMiss += square(mean - truth)
+				forecastSquares += square(forecast - truth)
+				lastSquares += square(own(at) - truth)
+				meanSquares += square(mean - truth)
 				n++
 			})
 		}
-		miss, last, mean := rootMean(forecastMiss, n), rootMean(lastMiss, n), rootMean(meanMiss, n)
-		t.Logf("period %v s: error of the forecast %.2f, of the last reading %.2f, of the mean %.2f", period, miss, last, mean)
-		if miss > 0.3 || miss > last/2 || miss > mean/2 {
-			t.Errorf("period %v s: the error of the forecast is %.2f, of the last reading %.2f, of the mean %.2f", period, miss, last, mean)
+		forecast, last, mean := rootMean(forecastSquares, n), rootMean(lastSquares, n), rootMean(meanSquares, n)
+		t.Logf("period %v s: error of the forecast %.2f, of the last reading %.2f, of the mean %.2f", period, forecast, last, mean)
+		if forecast > 0.3 || forecast > last/2 || forecast > mean/2 {
+			t.Errorf("period %v s: the error of the forecast is %.2f, of the last reading %.2f, of the mean %.2f", period, forecast, last, mean)
 		}
 	}
 }
--- a/interference/model.go
+++ b/interference/model.go
@@ -6,8 +6,8 @@
 // the estimates of all tasks that shared the worker when it was taken, the most uncertain ones
 // most (a diagonal Kalman filter).
 //
-// For served images, Pressures learns how much headroom each filling image takes, Tracker follows the
-// headroom on one worker, and Wave forecasts the headroom that an image would have alone.
+// For served images, Pressures learns how much headroom each filling image takes, Tracker follows
+// the headroom on one worker, and Wave forecasts the headroom that an image would have alone.
 package interference
 
 import (
--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -66,8 +66,8 @@
 	// subtracted.
 	stepError = 0.035
 	stepRate  = 0.2
-	// ownRate is the deviation of the change of headroom per second by the own load, which
-	// moved it between 1.7 and 3.9 within 14 s.
+	// ownRate is the deviation of the rate, per second, at which the own load changes the
+	// headroom: in the readings it oscillated between 1.7 and 3.9 with a period of 14 s.
 	ownRate = 0.35
 	// priorMean and priorDeviation are those of a pair that was never observed: three in four
 	// pairs take 0.01 to 0.03 of headroom per processor, the others 0.07 to 0.22.
--- a/interference/tracker_test.go
+++ b/interference/tracker_test.go
@@ -33,8 +33,8 @@
 		}
 		headroom := headroomOf(ownLoad(seconds)+0.025*use["heavy"]) * (1 + 0.03*rng.NormFloat64())
 		if i > 10 {
-			miss := math.Abs(tr.Expect(halfSecond, use, prior) - headroom)
-			sum, worst = sum+miss, math.Max(worst, miss)
+			deviation := math.Abs(tr.Expect(halfSecond, use, prior) - headroom)
+			sum, worst = sum+deviation, math.Max(worst, deviation)
 			total++
 		}
 		tr.Read(start.Add(time.Duration(seconds*float64(time.Second))), headroom, use, prior)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -117,15 +117,15 @@
 	return ""
 }
 
-// forgetAfter is how long a member that is down is kept, in milliseconds of the log's clock.
+// downRetention is how long a member that is down is kept, in milliseconds of the log's clock.
 // Instances are replaced under new names, 170 a day at the size designed for, so without this
 // limit the list would grow without bound.
-const forgetAfter = 24 * 3600 * 1000
+const downRetention = 24 * 3600 * 1000
 
-// forget removes the members that have been down for longer than forgetAfter.
-func (s *State) forget(now int64) {
+// removeExpired removes the members that have been down for longer than downRetention.
+func (s *State) removeExpired(now int64) {
 	for agent, m := range s.Members {
-		if m.Phase == Down && m.DownSince > 0 && now-m.DownSince > forgetAfter {
+		if m.Phase == Down && m.DownSince > 0 && now-m.DownSince > downRetention {
 			delete(s.Members, agent)
 		}
 	}
@@ -134,7 +134,7 @@
 // ApplyMove changes a member's phase and reports whether it did. A move for another boot or to
 // the present phase has no effect. now is the log's clock in milliseconds.
 func (s *State) ApplyMove(mv Move, index uint64, now int64) bool {
-	s.forget(now)
+	s.removeExpired(now)
 	m := s.Members[mv.Agent]
 	if m == nil || m.Boot != mv.Boot || m.Phase == mv.Phase {
 		return false
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -9,7 +9,7 @@
 // Members that are down must be removed after a day, since instances are replaced under new
 // names every day, but not earlier, because operators look for them. A move for an earlier boot
 // must change no member.
-func TestDownMembersAreForgottenAfterADay(t *testing.T) {
+func TestDownMembersAreRemovedAfterADay(t *testing.T) {
 	s := NewState()
 	for _, name := range []string{"old", "new"} {
 		s.ApplyAnnounce(Member{Agent: name, Boot: "b2"}, 1)
@@ -20,11 +20,11 @@
 	if !s.ApplyMove(Move{Agent: "old", Boot: "b2", Phase: Down}, 3, 1000) {
 		t.Fatal("the move took no effect")
 	}
-	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Quarantined}, 4, forgetAfter)
+	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Quarantined}, 4, downRetention)
 	if s.Members["old"] == nil {
 		t.Fatal("forgotten too early")
 	}
-	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Up}, 5, forgetAfter+1001)
+	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Up}, 5, downRetention+1001)
 	if s.Members["old"] != nil || s.Members["new"] == nil {
 		t.Fatalf("after a day: %v", s.Members)
 	}
--- a/queues/queues.go
+++ b/queues/queues.go
@@ -25,7 +25,8 @@
 	Slack    float64 `msgpack:"k" json:"slack"`
 	// Priority orders the queues; 0 is served first.
 	Priority int `msgpack:"r" json:"priority"`
-	// MaxAttempts is the number of failed attempts after which a task has failed.
+	// MaxAttempts is the number of failed attempts of a task or gang at which its job fails; 0
+	// is no limit.
 	MaxAttempts int `msgpack:"m" json:"max_attempts"`
 	// Advice is set if only the advisor knows which workers may run a step.
 	Advice *Advice `msgpack:"v,omitempty" json:"advice,omitempty"`
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// forgetAfter is how long an instance stays listed after its last acknowledgement.
-const forgetAfter = 10 * time.Minute
+// listRetention is how long an instance stays listed after its last acknowledgement.
+const listRetention = 10 * time.Minute
 
 // Instance is the newest acknowledgement of one instance.
 type Instance struct {
@@ -36,7 +36,7 @@
 	t.rows[role+"/"+name] = Instance{Name: name, Role: role, Revision: revision, seen: time.Now()}
 }
 
-// List returns the instances that acknowledged within forgetAfter, by role and name, with
+// List returns the instances that acknowledged within listRetention, by role and name, with
 // the time since then.
 func (t *Table) List() []Instance {
 	t.mu.Lock()
@@ -44,7 +44,7 @@
 	var out []Instance
 	for key, row := range t.rows {
 		row.SinceAck = time.Since(row.seen)
-		if row.SinceAck > forgetAfter {
+		if row.SinceAck > listRetention {
 			delete(t.rows, key)
 			continue
 		}
--- a/score/score.go
+++ b/score/score.go
@@ -123,8 +123,8 @@
 // alone; they are lognormal.
 const latencySigma = 0.5
 
-// samplesPerBucket is a fiftieth of the number of points that represent the latency distribution of
-// one slowdown bucket.
+// samplesPerBucket sets the resolution of the latency distribution: each slowdown bucket is
+// represented by 50 times as many points.
 const samplesPerBucket = 40
 
 // relativeQuantile returns the q-quantile of the latency of all requests, relative to the same
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -115,7 +115,7 @@
 
 // The machines of a wave must go down one at a time, each once, and the wave must be completed once
 // the upkeep of the last machine has begun.
-func TestAWaveTakesEachMachineOnce(t *testing.T) {
+func TestWaveTakesEachMachineDownOnce(t *testing.T) {
 	f := newFleet(t, 3)
 	f.start(Wave{Number: 1, Machines: f.names(), DurationMS: 20_000, MaxConcurrent: 1})
 	r := f.state.Waves[1]
