--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -22,7 +22,7 @@
 	}
 	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Quarantined}, 4, downRetention)
 	if s.Members["old"] == nil {
-		t.Fatal("forgotten too early")
+		t.Fatal("removed too early")
 	}
 	s.ApplyMove(Move{Agent: "new", Boot: "b2", Phase: Up}, 5, downRetention+1001)
 	if s.Members["old"] != nil || s.Members["new"] == nil {
--- a/transport/client.go
+++ b/transport/client.go
@@ -91,7 +91,8 @@
 
 // Call sends a message and decodes the response into resp, unless that is nil. Except for
 // messages that cannot be encoded or decoded, the error is a *refusal.Error: the peer's own,
-// SendFailed if nothing was sent, or Unreachable if the peer may have processed the message.
+// Forbidden if the peer has no valid key, SendFailed if nothing was sent, or Unreachable if the
+// peer may have processed the message.
 func (c *Client) Call(addr, path string, timeout time.Duration, req, resp any) error {
 	body, err := Encode(req)
 	if err != nil {
