--- a/interference/forecast_test.go
+++ b/interference/forecast_test.go
@@ -78,10 +78,10 @@
 				n++
 			})
 		}
-		forecast, last, mean := rootMean(forecastSquares, n), rootMean(lastSquares, n), rootMean(meanSquares, n)
-		t.Logf("period %v s: error of the forecast %.2f, of the last reading %.2f, of the mean %.2f", period, forecast, last, mean)
-		if forecast > 0.3 || forecast > last/2 || forecast > mean/2 {
-			t.Errorf("period %v s: the error of the forecast is %.2f, of the last reading %.2f, of the mean %.2f", period, forecast, last, mean)
+		forecastError, last, mean := rootMean(forecastSquares, n), rootMean(lastSquares, n), rootMean(meanSquares, n)
+		t.Logf("period %v s: error of the forecast %.2f, of the last reading %.2f, of the mean %.2f", period, forecastError, last, mean)
+		if forecastError > 0.3 || forecastError > last/2 || forecastError > mean/2 {
+			t.Errorf("period %v s: the error of the forecast is %.2f, of the last reading %.2f, of the mean %.2f", period, forecastError, last, mean)
 		}
 	}
 }
