--- a/agent/agent.go
+++ b/agent/agent.go
@@ -67,15 +67,15 @@
 	}
 	g := &Agent{set: set, tls: tlsConfig, rpc: transport.NewClient(tlsConfig, set.Instance.IP), plain: transport.NewClient(nil, set.Instance.IP),
 		meter: newMeter(), gate: admission.NewGate(), markets: make(map[string]*market.View), started: time.Now(), ledger: NewLedger()}
-	g.ctl = control.NewClient(part, g.rpc, set.Contacts, spreadStart(set.Instance.Name))
+	g.ctl = control.NewClient(part, g.rpc, set.Contacts, firstReplica(set.Instance.Name))
 	g.runs = &runs{agent: g}
 	g.server = transport.NewHTTPServer(part, g.serveEntry, set.Agent.MaxBody)
 	return g, nil
 }
 
-// spreadStart returns the index of the control replica to call first. It depends on the
+// firstReplica returns the index of the control replica to call first. It depends on the
 // agent's name, so that agents spread over the replicas.
-func spreadStart(name string) int {
+func firstReplica(name string) int {
 	n := 0
 	for _, b := range []byte(name) {
 		n += int(b)
@@ -139,7 +139,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.announce == nil || g.announce.Address != a.Address {
-		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: An upstream announced itself at a new address.")
+		logrus.WithFields(logrus.Fields{"market": a.Market, "service": a.Service, "upstream": a.Address}).Info("agent: An upstream announced itself.")
 	}
 	g.announce, g.lastHeartbeat, g.unresponsive = &a, now, false
 	if a.Leaving || g.withdrawn {
@@ -195,7 +195,7 @@
 	if g.announce == nil || g.unresponsive || now.Sub(g.lastHeartbeat) < g.set.Agent.AnnounceTimeout.Duration {
 		return
 	}
-	logrus.WithField("upstream", g.announce.Address).Warn("agent: No heartbeat from the upstream within the time-out; refusing requests.")
+	logrus.WithField("upstream", g.announce.Address).Warn("agent: The upstream stopped its heartbeats.")
 	g.unresponsive = true
 	wakeDecided(g.gate.Close(refusal.NoUpstream))
 }
@@ -251,6 +251,7 @@
 		g.ledger.Replace(req.Member.Boot, a.Orders)
 	}
 	g.ledger.Throttle(a.Throttle)
+	// An answer older than StartWord no longer confirms that the data centre is in service.
 	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
 	if workerAddr != "" {
 		g.syncWorker(workerAddr, report.ClockMS+a.LeaseMS)
--- a/agent/ledger_test.go
+++ b/agent/ledger_test.go
@@ -53,7 +53,7 @@
 	l.SetCordoned(true)
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "new" {
-		t.Fatalf("the worker's commands: %+v", s)
+		t.Fatalf("want only a stop of the attempt that has not started, got %+v", s)
 	}
 	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running, {Task: "new", Attempt: 1, Outcome: lease.OutcomeRejected}}})
 	ends := l.Ends()
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -15,7 +15,7 @@
 // One that arrives at 2.003 s is answered immediately by version 3. Version 7 is committed and
 // answers the first look-up at 2.241 s: in the order of sending, the instance went back from
 // version 7 to 3.
-func TestAHeldLookUpIsNotAnsweredByAVersionNewerThanLaterCallsGot(t *testing.T) {
+func TestWaitingLookUpIsNotAnsweredByANewerVersionThanLaterCalls(t *testing.T) {
 	var o answerOrder
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	if !o.admit(at(1400), 3) || !o.admit(at(2003), 3) {
@@ -41,7 +41,7 @@
 	var o answerOrder
 	start := time.Unix(0, 0)
 	if !o.admit(start.Add(60*time.Millisecond), 3) || !o.admit(start, 7) || !o.admit(start.Add(90*time.Millisecond), 3) {
-		t.Error("one of them is withheld")
+		t.Error("an answer to one of the concurrent calls is withheld")
 	}
 	if !o.admit(start, 0) {
 		t.Error("an answer that does not depend on the configuration is withheld")
@@ -49,7 +49,7 @@
 }
 
 // There are hundreds of versions a day. The record of them must stay bounded.
-func TestOldVersionsAreForgotten(t *testing.T) {
+func TestOldVersionsAreRemoved(t *testing.T) {
 	var o answerOrder
 	start := time.Unix(0, 0)
 	for i := range 1000 {
@@ -64,7 +64,7 @@
 // 7. The gateway must tell the first caller to retry, and the next call must be answered by
 // version 7. The later call is refused: a refusal for a missing queue carries a version too and
 // must count like an answer.
-func TestAGatewayWithholdsTheAnswerOfAHeldLookUp(t *testing.T) {
+func TestGatewayWithholdsTheAnswerOfAWaitingLookUp(t *testing.T) {
 	release, held := make(chan struct{}), make(chan struct{})
 	version := map[string]uint64{"/queue/held": 7, "/queue/later": 3, "/queue/again": 7}
 	server := transport.NewServer("test", nil)
--- a/entry/request.go
+++ b/entry/request.go
@@ -297,8 +297,8 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// writeRefusal answers a caller whose request was not done and sets the retry time. The time
-// is randomised, so that callers that were refused together do not retry together.
+// writeRefusal immediately answers a caller whose request was not done and sets the retry time. The
+// time is randomised, so that callers that were refused together do not retry together.
 func writeRefusal(ctx *fasthttp.RequestCtx, v verdict) {
 	closing := ctx.Response.ConnectionClose()
 	ctx.Response.Reset()
--- a/market/state.go
+++ b/market/state.go
@@ -85,19 +85,19 @@
 }
 
 func (s *State) checkBase(c Change) error {
-	revision, winner := s.currentRevision(c)
+	revision, lastChange := s.currentRevision(c)
 	if c.Base == revision {
 		return nil
 	}
 	e := refusal.New(refusal.Conflict, "read the present state and send a new change based on it",
-		"change %q is based on revision %d, but change %q made it %d", c.ID, c.Base, winner, revision)
-	e.Winner, e.Revision = winner, revision
+		"change %q is based on revision %d, but change %q made it %d", c.ID, c.Base, lastChange, revision)
+	e.Winner, e.Revision = lastChange, revision
 	return e
 }
 
 // currentRevision returns the revision that a change is compared with, and the change that set
 // it: those of the teams or of the change's market.
-func (s *State) currentRevision(c Change) (revision uint64, winner string) {
+func (s *State) currentRevision(c Change) (revision uint64, lastChange string) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
 		return s.Teams.Revision, s.Teams.Winner
 	}
--- a/market/state_test.go
+++ b/market/state_test.go
@@ -58,16 +58,16 @@
 
 // Operators send concurrent changes with equal bases and resend changes whose answers were lost,
 // before and after a snapshot and restart. Each change must take effect once or not at all, as in
-// the model, and each market must have the model's preset and revision.
+// the model, and each market must have the model's preset and revision, which never decreases.
 func TestRacingChangesAgreeWithTheOracle(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(4)
 	params.MinSuccessfulTests = 300
 	props := gopter.NewProperties(params)
 	one := gen.Struct(reflect.TypeOf(generatedChange{}), map[string]gopter.Gen{"ID": gen.IntRange(0, 40), "Market": gen.IntRange(0, 2), "Preset": gen.IntRange(0, 1), "Back": gen.IntRange(0, 4)})
-	props.Property("changes", prop.ForAll(func(races []generatedChange) string {
+	props.Property("changes", prop.ForAll(func(changes []generatedChange) string {
 		s, o := seeded()
 		seen := make(map[string]Change)
-		for i, r := range races {
+		for i, r := range changes {
 			if msg := s.applyAndCompare(o, seen, r); msg != "" {
 				return msg
 			}
@@ -122,7 +122,7 @@
 
 // Two operators change the same market from the same revision. The second must be refused with
 // the id of the accepted change and the current revision, so that the operator can retry from it.
-func TestConflictNamesTheWinner(t *testing.T) {
+func TestConflictNamesTheAcceptedChange(t *testing.T) {
 	s, o := seeded()
 	base := o.markets["m0"]
 	if _, err := s.Apply(Change{ID: "first", Base: base, Verb: UsePreset, Market: "m0", Name: "p0"}); err != nil {
@@ -137,7 +137,7 @@
 
 // Only the latest answers are kept. A change whose answer has been discarded must still be refused
 // when it is sent again: its first application has made its base outdated.
-func TestForgottenChangeIsStillRefused(t *testing.T) {
+func TestChangeWithDiscardedAnswerIsStillRefused(t *testing.T) {
 	s, o := seeded()
 	first := Change{ID: "old", Base: o.markets["m0"], Verb: UsePreset, Market: "m0", Name: "p0"}
 	if _, err := s.Apply(first); err != nil {
--- a/quorum/core.go
+++ b/quorum/core.go
@@ -46,7 +46,7 @@
 	vote            uint64
 	leader          uint64
 	now             uint64 // ticks since the start
-	electionElapsed uint64 // ticks since the last message from a leader
+	electionElapsed uint64 // ticks since a leader's message, a new term, a granted vote or a campaign's start
 	electionTimeout uint64 // value of electionElapsed at which to campaign
 
 	votes         map[uint64]bool
--- a/quorum/disk.go
+++ b/quorum/disk.go
@@ -78,7 +78,7 @@
 		return nil, Error.Wrap(err)
 	}
 	d := &Disk{dir: dir, initialID: id, write: (*os.File).Write}
-	if err := d.takeLock(); err != nil {
+	if err := d.lockFolder(); err != nil {
 		return nil, err
 	}
 	if err := d.load(); err != nil {
@@ -91,7 +91,7 @@
 // Stored returns the content of the folder at the time it was opened.
 func (d *Disk) Stored() Stored { return d.state }
 
-func (d *Disk) takeLock() error {
+func (d *Disk) lockFolder() error {
 	f, err := os.OpenFile(filepath.Join(d.dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return Error.Wrap(err)
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -17,10 +17,10 @@
 		c.onElectionWon()
 		return
 	}
-	c.askVotes(pre, false)
+	c.requestVotes(pre, false)
 }
 
-func (c *Core) askVotes(pre, transfer bool) {
+func (c *Core) requestVotes(pre, transfer bool) {
 	kind, term := MsgVote, c.term
 	if pre {
 		kind, term = MsgPreVote, c.term+1
@@ -72,7 +72,8 @@
 	}
 }
 
-// upToDate reports whether a candidate's log is at least as up to date as this replica's.
+// upToDate reports whether a candidate's log is at least as up to date as this replica's, so that a
+// candidate elected by a majority holds every committed entry.
 func (c *Core) upToDate(m Message) bool {
 	if m.LogTerm != c.log.lastTerm() {
 		return m.LogTerm > c.log.lastTerm()
@@ -136,5 +137,5 @@
 		c.onElectionWon()
 		return
 	}
-	c.askVotes(false, true)
+	c.requestVotes(false, true)
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -142,7 +142,8 @@
 }
 
 // compact records a snapshot of the applied part and drops the entries it covers, except for the
-// last l.retain ones and those after the index needed, as long as these take at most pinnedBytes.
+// last l.retain ones and those after index needed (see neededFrom), unless the latter exceed
+// pinnedBytes.
 func (l *memLog) compact(s Snapshot, needed uint64) {
 	if s.Index <= l.snap.Index || s.Index > l.applied {
 		return
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -247,9 +247,9 @@
 	p.sent(c.now, s.Index, end-p.offset)
 }
 
-// neededFrom returns the index after which the log must stay in memory. A snapshot being sent is
-// useless without the entries that follow it: if sending it takes longer than the interval between
-// the leader's snapshots, the replica would never catch up.
+// neededFrom returns the index after which the log must stay in memory. A snapshot that is being sent
+// to a replica in contact is useless without the entries that follow it: if sending it took longer
+// than the interval between the leader's snapshots, the replica would never catch up.
 func (c *Core) neededFrom() uint64 {
 	from := c.log.last()
 	for _, p := range c.peers {
--- a/quorum/repair_test.go
+++ b/quorum/repair_test.go
@@ -170,7 +170,7 @@
 
 // Reads are frequent, and each needs the responses of a majority. Spares do not count for it, and
 // sending them the same messages would cost the leader more than the voters do.
-func TestReadsAskVotersOnly(t *testing.T) {
+func TestReadsContactVotersOnly(t *testing.T) {
 	w := newNetwork(6, 3)
 	w.spares = 3
 	w.settle(200)
@@ -222,7 +222,7 @@
 // unresponsive as well, the set would have four voters. Two more disks lost at once, which five
 // replicas tolerate, would leave two of four: callers would be refused permanently, and acknowledged
 // changes would be lost.
-func TestSetKeepsItsSizeWhileAReplicaCannotHear(t *testing.T) {
+func TestSetKeepsItsSizeWhileAReplicaIsUnreachable(t *testing.T) {
 	w, l := settledNetwork(t, 5)
 	others := w.others(l)
 	unreachable, wiped := others[0], others[1]
--- a/quorum/replicaset_test.go
+++ b/quorum/replicaset_test.go
@@ -73,8 +73,8 @@
 	return -1
 }
 
-// lost counts the hosts that are down or frozen, that lost their disk and may still be catching up,
-// or that have a cut or slow link.
+// lost counts the hosts that are down or frozen or that lost their disk and may still be catching up.
+// A cut or slow link between two other hosts counts as the loss of one of them.
 func (s *replicaSet) lost() int {
 	lost := make(map[int]bool)
 	for i, h := range s.hosts {
@@ -390,8 +390,9 @@
 	workers.Wait()
 }
 
-// Three elections in a row were split by two replicas that campaigned in the same tick: callers
-// would have waited for three seconds, although the losses were within the tolerance.
+// Guards against repeated split elections: with this seed, three in a row were split by two replicas
+// that campaigned in the same tick. Callers would have waited for three seconds, although the losses
+// were within the tolerance.
 func TestSetWithSplitElections(t *testing.T) {
 	if err := newReplicaSet(3, 0, 8181).run(); err != nil {
 		t.Error(err)
--- a/quorum/safety_test.go
+++ b/quorum/safety_test.go
@@ -199,7 +199,7 @@
 
 // A replica is down while thousands of changes are committed and the log is compacted. It must catch up
 // by a snapshot in chunks, although some of them are lost.
-func TestFarBehindReplicaIsBroughtUpBySnapshot(t *testing.T) {
+func TestFarBehindReplicaCatchesUpBySnapshot(t *testing.T) {
 	w, l := settledNetwork(t, 3)
 	lagging := w.others(l)[0]
 	w.stop(lagging)
@@ -228,7 +228,7 @@
 
 // The leadership is transferred when an instance shuts down: the next leader must be elected after one
 // round of messages and not after an election timeout.
-func TestHandOverTakesNoElectionTimeout(t *testing.T) {
+func TestLeadershipTransferNeedsNoElectionTimeout(t *testing.T) {
 	w, l := settledNetwork(t, 3)
 	to := w.others(l)[1]
 	if err := l.core.Transfer(to.disk.id); err != nil {
