--- a/control/clock_test.go
+++ b/control/clock_test.go
@@ -45,7 +45,7 @@
 
 // Guards against sorting all clocks for every agent call: with 2,700 agents the leader would sort
 // 2,700 clocks each time.
-func TestAskingForTheTimeCostsNothingMoreInALargeFleet(t *testing.T) {
+func TestDueTimeCostsNoMoreInALargeFleet(t *testing.T) {
 	c := newDuetime(time.Now())
 	for i := range 2700 {
 		c.set(fmt.Sprint(i), int64(i%97), c.started)
--- a/control/costs_test.go
+++ b/control/costs_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("the usual low leaves %.2f", usual)
 	}
 	if got := c.at(now).Bound("w1", "watch"); got != usual {
-		t.Errorf("an agent that says 2.5 raises it to %.2f", got)
+		t.Errorf("an agent that reports 2.5 raises it to %.2f", got)
 	}
 	report(c, "w1", now, Reading{Image: "watch", Job: "b", Headroom: 1.4, Own: 1.4, Bears: 0.3})
 	if got := c.at(now).Bound("w1", "watch"); got != 0.3 {
--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -120,7 +120,7 @@
 
 // Guards against an order that takes longer between its arrival and the read it builds on than
 // its sender waits for an answer.
-func TestOrderThatWasUnderWayForTooLongIsRefused(t *testing.T) {
+func TestOrderThatTookTooLongIsRefused(t *testing.T) {
 	r := newBareReplica(t)
 	var suspended atomic.Int64
 	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
@@ -153,7 +153,7 @@
 		t.Errorf("it has run for %v", d)
 	}
 	if d := p.runningFor(at(3*time.Second + stallThreshold)); d > 100*time.Millisecond {
-		t.Errorf("after a break it has run for %v", d)
+		t.Errorf("after a stall it has run for %v", d)
 	}
 }
 
--- a/control/headroom.go
+++ b/control/headroom.go
@@ -53,7 +53,8 @@
 	clockZero time.Time // zero of the agent's clock on the leader's clock
 }
 
-// level is an exponentially weighted mean and spread of a headroom.
+// level is a running mean and spread of a headroom. Past levelWindow readings the weight of older
+// ones decays exponentially.
 type level struct{ mean, square, n float64 }
 
 func (l *level) add(v float64) {
@@ -80,16 +81,16 @@
 	return headrooms{without: without, levels: make(map[string]*level), groups: make(map[string]map[servingGroupKey]servingGroup)}
 }
 
-// record stores a reading of a serving group. It returns the previous reading, nil for none, and
-// the time between the two on the agent's clock.
+// record stores a reading of a serving group. It returns the earlier reading from which the step to
+// this one is counted, nil for none, and the time between the two on the agent's clock.
 func (h *headrooms) record(worker string, r *Reading, now time.Time) (last *Reading, over time.Duration) {
-	crews := h.groups[worker]
-	if crews == nil {
-		crews = make(map[servingGroupKey]servingGroup)
-		h.groups[worker] = crews
+	groups := h.groups[worker]
+	if groups == nil {
+		groups = make(map[servingGroupKey]servingGroup)
+		h.groups[worker] = groups
 	}
 	key := servingGroupKey{r.Image, r.Job}
-	s, seen := crews[key]
+	s, seen := groups[key]
 	if seen {
 		before := s.last
 		last, over = &before, time.Duration(r.AtMS-s.last.AtMS)*time.Millisecond
@@ -99,7 +100,7 @@
 	}
 	s.reportedAt, s.spare = now, r.Bears
 	h.recordOwn(&s, r, now, !seen || over < 0)
-	crews[key] = s
+	groups[key] = s
 	return last, over
 }
 
@@ -124,9 +125,9 @@
 // that went away for any reason. Each incarnation of a worker has its own id, so entries would
 // otherwise accumulate with every restart.
 func (h *headrooms) forget(now time.Time) {
-	for worker, crews := range h.groups {
-		maps.DeleteFunc(crews, func(_ servingGroupKey, s servingGroup) bool { return now.Sub(s.reportedAt) > groupTTL })
-		if len(crews) == 0 {
+	for worker, groups := range h.groups {
+		maps.DeleteFunc(groups, func(_ servingGroupKey, s servingGroup) bool { return now.Sub(s.reportedAt) > groupTTL })
+		if len(groups) == 0 {
 			delete(h.groups, worker)
 		}
 	}
--- a/control/jobs.go
+++ b/control/jobs.go
@@ -33,7 +33,7 @@
 	r.server.Handle(PathOrders, handle(r.onOrders), agent)
 	r.server.Handle(PathEnds, handle(r.onEnds), agent)
 	r.server.Handle(PathWorkerGone, handle(r.onWorkerGone), agent)
-	r.server.Handle(PathSilent, handle(r.onSilent), agent)
+	r.server.Handle(PathSilent, handle(r.onUnresponsive), agent)
 	r.server.Handle(PathReplicas, handle(r.onReplicas), entry, agent, control)
 }
 
@@ -336,16 +336,16 @@
 	return Empty{}, err
 }
 
-// onSilent handles an agent's report that its worker does not answer. The worker may recover at
-// any moment, so nothing is committed, but nothing new is placed there for now.
-func (r *Replica) onSilent(ref WorkerRef) (Empty, error) {
+// onUnresponsive handles an agent's report that its worker does not answer. The worker may recover
+// at any moment, so nothing is committed, but nothing new is placed there for now.
+func (r *Replica) onUnresponsive(ref WorkerRef) (Empty, error) {
 	if r.node.View().Role != quorum.Leader {
 		return Empty{}, r.refusalOf(quorum.ErrNotLeader)
 	}
 	if _, err := r.registrationOf(ref); err != nil {
 		return Empty{}, err
 	}
-	r.dispatcher.markSilent(ref.Worker)
+	r.dispatcher.markUnresponsive(ref.Worker)
 	return Empty{}, nil
 }
 
--- a/control/longestlease_test.go
+++ b/control/longestlease_test.go
@@ -36,7 +36,7 @@
 
 // Guards against waiting for the longest lease although it has already passed, and against a
 // later session that claims it again.
-func TestLongestLeaseIsTakenBack(t *testing.T) {
+func TestLongestLeaseIsCleared(t *testing.T) {
 	c := newCluster(t)
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
@@ -56,7 +56,7 @@
 	}
 	w.Life, w.LentLate, w.Token = "b3", true, c.token(l, "b")
 	if done, err := l.onRegister(Registration{Worker: w}); err != nil || done.LentMS != 0 {
-		t.Errorf("a later session beside the same start: %+v, %v", done, err)
+		t.Errorf("a later session with the same incarnation: %+v, %v", done, err)
 	}
 }
 
--- a/control/loss_test.go
+++ b/control/loss_test.go
@@ -143,7 +143,7 @@
 
 // Guards against a member that is marked down right after its return: its announcement is
 // applied, but its handler has not recorded its lease yet.
-func TestMemberThatIsBackIsNotTakenForDown(t *testing.T) {
+func TestMemberThatReturnedIsNotMarkedDown(t *testing.T) {
 	c := newCluster(t)
 	l := c.replicas[c.leader()]
 	m := membership.Member{Agent: "a", Address: "127.0.0.1:1", Boot: "b"}
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -128,7 +128,8 @@
 	Known []PairCost `msgpack:"o,omitempty"`
 	// PairsSeen is the last revision of pairs received from this leader, 0 if none.
 	PairsSeen uint64 `msgpack:"p,omitempty"`
-	// Stalled holds filling runs whose pace has been zero for long.
+	// Stalled holds filling runs that have been kept at a low pace for so long that they should
+	// move to another worker.
 	Stalled []jobs.Stop `msgpack:"s,omitempty"`
 	// Ailing reports that tail latencies are too long even without filling work.
 	Ailing bool `msgpack:"i,omitempty"`
--- a/control/register_test.go
+++ b/control/register_test.go
@@ -60,7 +60,7 @@
 	}
 	w.ID, w.Life, w.Token = "w#1", "a", first.Token
 	if _, err := l.onRegister(Registration{Worker: w}); !refusal.Is(err, refusal.NotRegistered) {
-		t.Errorf("the session before: %v", err)
+		t.Errorf("the superseded session: %v", err)
 	}
 	l.machine.Read(func(s *State) {
 		if x := s.Jobs.WorkerOf("a"); x == nil || x.ID != "w#2" {
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -195,7 +195,7 @@
 	old := c.leader()
 	renewal := Renew{Member: membership.Member{Agent: "a", Address: "127.0.0.1:1", Boot: "b"}}
 	if _, err := c.replicas[old].onRenew(renewal); err != nil {
-		t.Fatalf("a renewal before the cut: %v", err)
+		t.Fatalf("a renewal before the partition: %v", err)
 	}
 	c.isolate(old, true)
 	lost := market.Change{ID: "lost", Base: 1, Verb: market.PutTeam, Team: &market.Team{Name: "lost"}}
@@ -306,7 +306,7 @@
 
 // A follower's refusal that names the leader must carry the age of that information; without it
 // clients return to a leader that is gone.
-func TestRefusalTellsHowLongAgoTheLeaderWasHeard(t *testing.T) {
+func TestRefusalReportsHowLongAgoTheLeaderWasHeard(t *testing.T) {
 	c := newCluster(t)
 	other := c.replicas[(c.leader()+1)%len(c.replicas)]
 	c.wait("the leader is known", func() bool { return other.node.View().Leader.ID != 0 })
--- a/control/replicaset_test.go
+++ b/control/replicaset_test.go
@@ -13,7 +13,7 @@
 
 // One of three replicas stops answering, returns without its disk and is replaced. Meanwhile the
 // status must show since when and why the set tolerates no loss, and nothing once it is complete.
-func TestShortageSaysSinceWhenAndWhy(t *testing.T) {
+func TestShortageReportsSinceWhenAndWhy(t *testing.T) {
 	a, b, c, again := replicaNamed(1, "a"), replicaNamed(2, "b"), replicaNamed(3, "c"), replicaNamed(9, "c")
 	complete := quorum.Config{Voters: []quorum.Replica{a, b, c}}
 	status := func(cfg quorum.Config, match map[uint64]uint64) quorum.Status {
@@ -28,7 +28,7 @@
 		why       string // empty for no shortage
 	}{
 		{"all answer", status(complete, map[uint64]uint64{2: 100, 3: 100}), 1, ""},
-		{"c is silent", status(complete, map[uint64]uint64{2: 100}), 0, "c does not answer"},
+		{"c stops answering", status(complete, map[uint64]uint64{2: 100}), 0, "c does not answer"},
 		{"c is back empty", status(complete.WithLearner(again), map[uint64]uint64{2: 100, 9: 40}), 0, "c does not answer; c has 40 of 100 entries"},
 		{"c is being replaced", status(complete.WithLearner(again).Replacing(3, again), map[uint64]uint64{2: 100, 9: 100}), 0, "c is being replaced"},
 		{"c is replaced", status(complete.WithLearner(again).Replacing(3, again).Settled(), map[uint64]uint64{2: 100, 9: 100}), 1, ""},
@@ -45,7 +45,7 @@
 			t.Errorf("%s: %+v", s.name, got)
 		}
 		if i == 3 && !got.Since.Equal(begun.Add(time.Second)) {
-			t.Errorf("since %v, want the moment c went silent", got.Since)
+			t.Errorf("since %v, want the time when c stopped answering", got.Since)
 		}
 		if begins := i == 1 || i == 5; (shortages.Get() > counted) != begins {
 			t.Errorf("%s: counted %v", s.name, shortages.Get()-counted)
--- a/control/workers.go
+++ b/control/workers.go
@@ -56,20 +56,20 @@
 	return out
 }
 
-// silentTTL is how long a report that a worker does not answer stays valid: two reports.
-const silentTTL = 1200 * time.Millisecond
+// unresponsiveTTL is how long a report that a worker does not answer stays valid: two reports.
+const unresponsiveTTL = 1200 * time.Millisecond
 
-// markSilent keeps new tasks off a worker that does not answer. Placed there they would wait
+// markUnresponsive keeps new tasks off a worker that does not answer. Placed there they would wait
 // until it recovers or its lease has expired, for three to five seconds.
-func (d *dispatcher) markSilent(worker string) {
+func (d *dispatcher) markUnresponsive(worker string) {
 	d.leads()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	until := time.Now().Add(silentTTL)
+	until := time.Now().Add(unresponsiveTTL)
 	if until.After(d.avoided[worker]) {
 		d.avoided[worker] = until
 	}
-	silentReports.Inc()
+	unresponsiveReports.Inc()
 }
 
 // handleEnds reacts to committed ends whose report arrived at the given time.
--- a/runner/announce_test.go
+++ b/runner/announce_test.go
@@ -46,7 +46,7 @@
 // Guards against a worker that is shut out for good, because its first heartbeat was a foreign
 // one or its own sequence jumped. Two heartbeats that agree with each other are the worker's
 // own.
-func TestTwoHeartbeatsThatAgreeAreBelieved(t *testing.T) {
+func TestTwoHeartbeatsThatAgreeAreAccepted(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		for i, want := range []error{ErrDoubted, nil, nil} {
--- a/runner/begin_test.go
+++ b/runner/begin_test.go
@@ -11,7 +11,7 @@
 // tail is near its target by its own load, and the worker starts an unknown render beside it
 // at full pace. Until the next reading up to 0.4 s pass, so the pace must be sent with the
 // start.
-func TestARendersPaceIsToldWithItsStart(t *testing.T) {
+func TestARendersPaceIsSentWithItsStart(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		watch := runKey{jobs.Ref{Job: "00000000000000cc"}, 1}
 		b.worker.mu.Lock()
--- a/runner/cordon_test.go
+++ b/runner/cordon_test.go
@@ -12,7 +12,7 @@
 // Guards against an unanswered start that is repeated after an operator has taken the data
 // centre out of service. The run must be stopped, so that an earlier start can't take effect,
 // and reported as never started, so that it is placed elsewhere. Other runs continue.
-func TestUnansweredStartIsGivenBackOutOfService(t *testing.T) {
+func TestUnansweredStartIsRejectedOutOfService(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		other := runKey{jobs.Ref{Job: "00000000000000bb"}, 1}
 		b.ctl.give(startOf(other))
@@ -43,7 +43,7 @@
 
 // Orders that arrive while the data centre is out of service, from a leader that does not know
 // that yet, must be rejected. Once it is back in service, runs start again.
-func TestOrdersOutOfServiceAreGivenBack(t *testing.T) {
+func TestOrdersOutOfServiceAreRejected(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.ctl.cordon(true)
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -24,7 +24,7 @@
 }
 
 // state returns what the session knows of its incarnation. A run whose start went unanswered
-// counts only if the start was sent before the incarnation had ended.
+// counts unless the start was sent after the incarnation had ended.
 func (s *session) state() sessionState {
 	outage, unresponsive := s.r.liveness.outage(s.worker)
 	state := sessionState{worker: s.worker, leaving: s.draining()}
@@ -34,7 +34,7 @@
 		r.mu.Lock()
 		switch {
 		case r.ended:
-		case r.started && r.startedAt.IsZero(): // by an earlier process of the agent
+		case r.started && r.startedAt.IsZero(): // by an earlier session
 			state.runs = append(state.runs, activeRun{key: key, startedAt: s.began})
 		case r.started:
 			state.runs = append(state.runs, activeRun{key: key, startedAt: r.startedAt})
--- a/runner/crash_test.go
+++ b/runner/crash_test.go
@@ -125,7 +125,7 @@
 // Guards against a crash that is lost, or reported twice, when the control is unreachable
 // while the next incarnation arrives. It must be reported once, with the first registration
 // that succeeds.
-func TestACrashIsToldWhenTheControlIsBack(t *testing.T) {
+func TestACrashIsReportedWhenTheControlIsBack(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
--- a/runner/degraded.go
+++ b/runner/degraded.go
@@ -15,11 +15,11 @@
 	// at work, before the worker counts as degraded. A reading covers the last half second,
 	// and a pace takes up to 0.1 s to take effect.
 	degradedAfter = 1800 * time.Millisecond
-	// maxFreeTime is how long filling runs may work on end beside a tail that is too long on a
-	// degraded worker. The classification may be wrong: a pace takes effect late, or its call
-	// was lost. With readings at most 0.8 s apart, the runs are stopped again after 2.3 of the
-	// four seconds.
-	maxFreeTime = 1500 * time.Millisecond
+	// maxReleaseTime is how long filling runs may work continuously beside a tail that is too
+	// long on a degraded worker. The classification may be wrong: a pace takes effect late, or
+	// its call was lost. With readings at most 0.8 s apart, the runs are stopped again after
+	// 2.3 of the four seconds.
+	maxReleaseTime = 1500 * time.Millisecond
 )
 
 // degradationDetector distinguishes a degraded worker, whose tails are too long whatever fills
@@ -69,7 +69,7 @@
 		over = now.Sub(d.overSince)
 	}
 	switch {
-	case d.degraded && over < maxFreeTime:
+	case d.degraded && over < maxReleaseTime:
 		return releaseAll
 	case !d.degraded && over < stopAllAfter:
 		return steerAll
--- a/runner/fence.go
+++ b/runner/fence.go
@@ -12,9 +12,9 @@
 // fence makes the incarnation refuse the calls of earlier sessions, and reads what they left
 // running. It precedes the registration, since a registration lets the control start the
 // previous incarnation's tasks elsewhere: until this incarnation has seen a higher token, it
-// may carry out a late order that was meant for the previous one. It also keeps a worker that
-// is lost for good from being registered again and again: tasks placed on it would wait for a
-// whole lease term each time.
+// may carry out a late order that was meant for the previous one. Since it needs the
+// worker's answer, it also keeps a worker that is lost for good from being registered again and
+// again: tasks placed on it would wait for a whole lease term each time.
 func (s *session) fence() bool {
 	if !s.takeToken() {
 		return false
--- a/runner/fence_test.go
+++ b/runner/fence_test.go
@@ -65,7 +65,7 @@
 
 // Guards against late calls to a worker's successor while the control is unreachable: only a
 // token in reserve can make the successor refuse them with its first answer.
-func TestNextIncarnationIsFencedWhileTheControlIsAway(t *testing.T) {
+func TestNextIncarnationIsFencedWhileTheControlIsUnreachable(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.leaveAStartUnanswered()
 		b.worker.failCalls(ErrClosed)
@@ -104,7 +104,7 @@
 
 // Guards against a session that ends because of its own older token: the call was in flight
 // when the session switched to the reserve token.
-func TestCallWithTheTokenBeforeIsRepeated(t *testing.T) {
+func TestCallWithThePreviousTokenIsRepeated(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		s := b.session()
@@ -124,7 +124,7 @@
 
 // Guards against a late start that continues for as long as the control is unreachable, while
 // its task's lease ends and the task is started elsewhere.
-func TestLateStartIsStoppedWhileTheControlIsAway(t *testing.T) {
+func TestLateStartIsStoppedWhileTheControlIsUnreachable(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.leaveAStartUnanswered()
 		b.ctl.setDown(true)
--- a/runner/guard_test.go
+++ b/runner/guard_test.go
@@ -64,7 +64,7 @@
 
 // Guards against late starts on a worker's successor while the only call that could reveal it
 // is unanswered.
-func TestWorkerIsAskedOnceAListIsOverdue(t *testing.T) {
+func TestWorkerIsProbedOnceAListIsOverdue(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.stopUnansweredStart()
@@ -78,7 +78,7 @@
 
 // Guards against late starts on the successor of a draining worker, while the list that would
 // reveal it is unanswered.
-func TestWorkerThatLeavesIsAskedWhileAListIsUnanswered(t *testing.T) {
+func TestDrainingWorkerIsProbedWhileAListIsUnanswered(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.leaveAStartUnanswered()
--- a/runner/late_lease_test.go
+++ b/runner/late_lease_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a leader that waits for the longest lease long after it has expired.
-func TestLongestLeaseIsTakenBackOnceItHasPassed(t *testing.T) {
+func TestLongestLeaseIsClearedOnceItHasPassed(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.mu.Lock()
 		b.ctl.lentMS = 10_000
--- a/runner/liveness.go
+++ b/runner/liveness.go
@@ -81,7 +81,7 @@
 	l.record(worker, VerdictElsewhere, nil, now)
 }
 
-// extendLease records that the worker knows of a lease that lasts for another left.
+// extendLease records that the worker knows of a lease with the given time left.
 func (l *liveness) extendLease(worker string, left time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/runner/orphans_test.go
+++ b/runner/orphans_test.go
@@ -112,7 +112,7 @@
 
 // Guards against a session that outlives the loss of its worker: the control distinguishes its
 // updates from the first registration of another session by their Update field.
-func TestUpdateOfASessionSaysThatItIsOne(t *testing.T) {
+func TestUpdateOfASessionIsMarkedAsOne(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		if b.ctl.registered() != 1 || b.ctl.updates != 0 {
--- a/runner/pacer_test.go
+++ b/runner/pacer_test.go
@@ -185,7 +185,7 @@
 // The render takes much headroom, the watcher's load is at its peak, and the worker starts the
 // render at full pace. It must be slowed with its start. A render that takes nothing starts at
 // full pace, and neither changes the other's pace.
-func TestARenderBeginsAtThePaceThatTheWatcherBears(t *testing.T) {
+func TestARenderStartsAtThePaceThatTheWatcherTolerates(t *testing.T) {
 	s := newSimulation(t)
 	s.renders, s.own = []string{"light"}, 1.8
 	s.learnCosts("fresh", "light")
@@ -209,7 +209,7 @@
 
 // A render of unknown cost must start at a reduced pace, and reach full pace within some
 // readings once these show that it takes nothing.
-func TestAnUnseenRenderIsTriedWithCare(t *testing.T) {
+func TestAnUnknownRenderStartsAtAReducedPace(t *testing.T) {
 	s := newSimulation(t)
 	s.renders, s.own = nil, 1.7
 	for range 4 {
@@ -229,7 +229,7 @@
 
 // Two watchers of one image but of different jobs have different loads and tails. The one near
 // its target must be kept below it, whatever the median of both is.
-func TestWatchersOfOneImageAreKeptEach(t *testing.T) {
+func TestWatchersOfOneImageAreProtectedSeparately(t *testing.T) {
 	s := newSimulation(t)
 	s.learnCosts("heavy", "light")
 	s.orders[jobs.Ref{Job: "other"}] = jobs.Order{TargetMS: 50, Image: "watch"}
@@ -351,7 +351,7 @@
 		t.Errorf("the runs worked for %d of 60 readings, degraded: %v", worked, s.p.isDegraded())
 	}
 	if span := time.Duration(longest) * readingInterval; span > 3*time.Second {
-		t.Errorf("they worked for %v on end while the serving task was over its target", span)
+		t.Errorf("they worked for %v without a stop while the serving task was over its target", span)
 	}
 	if readings, _ := s.p.report(s.now, func() map[runKey]string { return nil }); len(readings) > 0 {
 		t.Errorf("%d readings of a degraded worker are reported", len(readings))
@@ -394,7 +394,7 @@
 
 // Readings arrive up to 0.8 s apart. At any interval, renders beside a watcher that is over
 // its target must stop within three of the four seconds for which it may be over it.
-func TestRendersStandInTimeHoweverReadingsCome(t *testing.T) {
+func TestRendersStopInTimeAtAnyReadingInterval(t *testing.T) {
 	for _, every := range []time.Duration{150, 250, 400, 600, 800} {
 		every *= time.Millisecond
 		s := newSimulation(t)
@@ -410,7 +410,7 @@
 				since = s.now
 			}
 			if d := s.now.Sub(since) + every; d > 3*time.Second {
-				t.Fatalf("with a reading every %v they work for %v on end", every, d)
+				t.Fatalf("with a reading every %v they work for %v without a stop", every, d)
 			}
 		}
 	}
--- a/runner/restart_test.go
+++ b/runner/restart_test.go
@@ -8,7 +8,7 @@
 // Guards against a worker whose lease outlives the control's entry. The previous session's
 // lists, sent while the worker restarted, are carried out late by its successor, whose clock
 // is far behind the one that their lease end refers to.
-func TestListsLostAtARestartLendTheNextStartNothing(t *testing.T) {
+func TestListsLostAtARestartDoNotExtendTheSuccessorsLease(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Minute)
 		b.ctl.setNoTokens(true) // the next session has only the reserve token
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -152,7 +152,7 @@
 // Guards against a task that runs twice: a start goes unanswered, its repetition is rejected
 // for lack of capacity, and the first start takes effect seconds later. The run must be
 // stopped before it is reported as never started.
-func TestUnansweredStartIsStoppedBeforeItIsGivenBack(t *testing.T) {
+func TestUnansweredStartIsStoppedBeforeItIsRejected(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.fail(1, VerdictNoRoom)
 		b.ctl.give(startOf(runA1))
@@ -168,7 +168,7 @@
 // Guards against a run that waits for the stop of a start that was never sent, since no
 // connection to the unresponsive worker was free. Such a run can be reported as never started
 // immediately.
-func TestStartThatNeverLeftNeedsNoStop(t *testing.T) {
+func TestStartThatWasNeverSentNeedsNoStop(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.worker.mu.Lock()
 		b.worker.notSent = 1 << 20
@@ -253,7 +253,7 @@
 
 // Once a draining worker's announcement is answered, no run may be started on it, even if the
 // control does not know yet.
-func TestNothingStartsOnALeavingWorker(t *testing.T) {
+func TestNothingStartsOnADrainingWorker(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.ctl.setDown(true)
@@ -348,7 +348,7 @@
 // Guards against a worker that is lost for good and registered again whenever its lease has
 // ended: each time the leader places tasks on it, which wait there for the whole lease term.
 // An unresponsive worker must not be registered.
-func TestSilentWorkerIsNotRegisteredAgain(t *testing.T) {
+func TestUnresponsiveWorkerIsNotRegisteredAgain(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.worker.failCalls(errLost)
@@ -374,7 +374,7 @@
 // Guards against tasks that wait on a crashed worker, which the leader still counts on, while
 // other workers have free capacity. The agent must report the outage soon; a call that is
 // merely late, or a connection that is reset, is no outage.
-func TestSilentWorkerIsTold(t *testing.T) {
+func TestUnresponsiveWorkerIsReported(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
 		b.worker.failCalls(errLost)
--- a/runner/unresponsive.go
+++ b/runner/unresponsive.go
@@ -8,8 +8,8 @@
 	"github.com/waxwinghaven/waxwinghaven/refusal"
 )
 
-// maxRefusedConns is the number of consecutive refused connections, over half a second, after
-// which a worker that announced its end counts as ended.
+// maxRefusedConns is the number of consecutive refused connections after which a worker that
+// announced its end counts as ended: half a second, with one attempt per callPause.
 const maxRefusedConns = 10
 
 // reportLeft reports to the control that a worker has ended, if it had announced that and its
