--- a/control/advisor.go
+++ b/control/advisor.go
@@ -50,77 +50,77 @@
 	return &adviceRequester{d: d, wakeup: make(chan struct{}, 1), table: advice.NewBook()}
 }
 
-func (c *adviceRequester) wake() {
+func (r *adviceRequester) wake() {
 	select {
-	case c.wakeup <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // run sends the pending questions whenever it is woken, until the context ends.
-func (c *adviceRequester) run(ctx context.Context) error {
-	if c.advisor == nil {
+func (r *adviceRequester) run(ctx context.Context) error {
+	if r.advisor == nil {
 		return nil
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.wakeup:
+		case <-r.wakeup:
 		}
-		for ctx.Err() == nil && c.ask(ctx) {
+		for ctx.Err() == nil && r.ask(ctx) {
 		}
 	}
 }
 
 // ask sends the most urgent question, and reports whether there was one.
-func (c *adviceRequester) ask(ctx context.Context) bool {
-	if !c.d.leads() {
+func (r *adviceRequester) ask(ctx context.Context) bool {
+	if !r.d.leads() {
 		return false
 	}
-	q, limit, valid := c.next()
+	q, limit, valid := r.next()
 	if q == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	sent := time.Now()
-	a, err := c.advisor.Advise(ctx, q.Step, q.Workers)
+	a, err := r.advisor.Advise(ctx, q.Step, q.Workers)
 	if a.Valid > 0 {
 		valid = a.Valid
 	}
 	adviceSeconds.UpdateDuration(sent)
 	l := logrus.WithFields(logrus.Fields{"job": q.Step.Job, "occurrence": q.Step.Occurrence, "step": q.Step.Step, "asked": len(q.Workers), "allowed": len(a.Tickets)})
-	c.d.mu.Lock()
+	r.d.mu.Lock()
 	if err != nil {
 		adviceUnanswered.Inc()
-		c.table.Unanswered(q, time.Now())
+		r.table.Unanswered(q, time.Now())
 	} else {
-		c.table.Answer(q, a.Tickets, sent, valid)
+		r.table.Answer(q, a.Tickets, sent, valid)
 	}
-	c.d.mu.Unlock()
+	r.d.mu.Unlock()
 	if err != nil {
 		l.Warnf("control: The advisor did not answer: %v.", err)
 		return true
 	}
 	l.Info("control: The advisor answered.")
-	c.d.wake()
+	r.d.wake()
 	return true
 }
 
 // next returns the most urgent question, the time limit for its answer and the default validity
 // of the tickets; q is nil if there is nothing to ask.
-func (c *adviceRequester) next() (q *advice.Question, limit, valid time.Duration) {
+func (r *adviceRequester) next() (q *advice.Question, limit, valid time.Duration) {
 	now := time.Now()
 	var wanted []dispatch.Wanted
-	c.d.r.machine.Read(func(s *State) {
-		wanted = dispatch.Advised(c.d.input(s))
+	r.d.r.machine.Read(func(s *State) {
+		wanted = dispatch.Advised(r.d.input(s))
 	})
-	c.d.mu.Lock()
-	defer c.d.mu.Unlock()
+	r.d.mu.Lock()
+	defer r.d.mu.Unlock()
 	for i := range wanted {
 		w := &wanted[i]
-		if q = c.table.Question(w.Step, w.Tasks, w.Workers, now); q != nil {
+		if q = r.table.Question(w.Step, w.Tasks, w.Workers, now); q != nil {
 			limit = time.Duration(w.Advice.TookMS(len(q.Workers)))*time.Millisecond + adviceSlack
 			return q, limit, time.Duration(w.Advice.ValidMS) * time.Millisecond
 		}
@@ -129,8 +129,8 @@
 }
 
 // ticket implements dispatch.Input.Ticket.
-func (c *adviceRequester) ticket(step jobs.GroupKey, worker string) string {
-	c.d.mu.Lock()
-	defer c.d.mu.Unlock()
-	return c.table.Ticket(step, worker, time.Now())
+func (r *adviceRequester) ticket(step jobs.GroupKey, worker string) string {
+	r.d.mu.Lock()
+	defer r.d.mu.Unlock()
+	return r.table.Ticket(step, worker, time.Now())
 }
--- a/control/durationmodel.go
+++ b/control/durationmodel.go
@@ -31,56 +31,56 @@
 }
 
 // record learns from the end of a run that ran at full pace throughout.
-func (l *durationModel) record(s *jobs.State, e jobs.End) {
+func (m *durationModel) record(s *jobs.State, e jobs.End) {
 	j := s.Jobs[e.Task.Job]
 	if j == nil || e.Task.Step < 0 || e.Task.Step >= len(j.Spec.Steps) {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.durations.Note(j.Host+j.Prefix, j.Spec.Steps[e.Task.Step].EstimateMS, e.WorkMS)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.durations.Note(j.Host+j.Prefix, j.Spec.Steps[e.Task.Step].EstimateMS, e.WorkMS)
 	key := e.Task.Group()
-	if len(l.groups) >= maxSamples {
-		l.groups = make(map[jobs.GroupKey]sample)
+	if len(m.groups) >= maxSamples {
+		m.groups = make(map[jobs.GroupKey]sample)
 	}
-	g := l.groups[key]
+	g := m.groups[key]
 	g.n++
 	g.meanMS += (float64(e.WorkMS) - g.meanMS) / g.n
-	l.groups[key] = g
+	m.groups[key] = g
 }
 
 // lessons returns the statistics of the queues.
-func (l *durationModel) lessons() []lessons.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.durations.Lessons()
+func (m *durationModel) lessons() []lessons.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.durations.Lessons()
 }
 
 // restore adopts the statistics of earlier leaders for queues that are unknown here.
-func (l *durationModel) restore(list []lessons.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (m *durationModel) restore(list []lessons.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, x := range list {
-		l.durations.Recall(x)
+		m.durations.Recall(x)
 	}
 }
 
 // estimates returns a view for one decision.
-func (l *durationModel) estimates() *dispatch.Estimates {
-	return &dispatch.Estimates{Durations: l, Measured: l.measured}
+func (m *durationModel) estimates() *dispatch.Estimates {
+	return &dispatch.Estimates{Durations: m, Measured: m.measured}
 }
 
 // Expect implements dispatch.Expectation.
-func (l *durationModel) Expect(queue string, estimateMS int64) float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.durations.Expect(queue, estimateMS)
+func (m *durationModel) Expect(queue string, estimateMS int64) float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.durations.Expect(queue, estimateMS)
 }
 
 // measured returns the mean duration of a group's finished runs in ms, 0 if there are none. The
 // mean of a whole queue would be too coarse for one step.
-func (l *durationModel) measured(key jobs.GroupKey) float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.groups[key].meanMS
+func (m *durationModel) measured(key jobs.GroupKey) float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.groups[key].meanMS
 }
--- a/control/lessons.go
+++ b/control/lessons.go
@@ -74,31 +74,31 @@
 }
 
 // next returns the lessons that have changed enough to be committed.
-func (t *lessonWriter) next(c *costs, l *durationModel) (u lessons.Update) {
+func (w *lessonWriter) next(c *costs, l *durationModel) (u lessons.Update) {
 	c.mu.Lock()
 	c.pressures.Each(func(serving, filling string, e interference.Estimate) {
 		if e.Seen > 0 {
-			t.pairs.record(pairName{serving, filling}, e)
+			w.pairs.record(pairName{serving, filling}, e)
 		}
 	})
-	names, next := t.pairs.since(t.revision)
-	t.revision = next
+	names, next := w.pairs.since(w.revision)
+	w.revision = next
 	for _, n := range names {
 		e := c.pressures.Of(n.serving, n.filling)
 		u.Pairs = append(u.Pairs, lessons.Pair{Serving: n.serving, Filling: n.filling, Mean: e.Mean, Var: e.Var, Seen: e.Seen})
 	}
 	for image, x := range c.levels {
 		now := lessons.Level{Image: image, Mean: x.mean, Square: x.square, N: x.n}
-		if old, known := t.levels[image]; !known || differs(old.Mean, x.mean, x.variance()) {
-			t.levels[image] = now
+		if old, known := w.levels[image]; !known || differs(old.Mean, x.mean, x.variance()) {
+			w.levels[image] = now
 			u.Levels = append(u.Levels, now)
 		}
 	}
 	c.mu.Unlock()
 	for _, now := range l.lessons() {
-		old, known := t.durations[now.Queue]
+		old, known := w.durations[now.Queue]
 		if !known || differs(old.Actual, now.Actual, now.ActualSquare-now.Actual*now.Actual) || differs(old.Miss, now.Miss, now.MissSquare-now.Miss*now.Miss) {
-			t.durations[now.Queue] = now
+			w.durations[now.Queue] = now
 			u.Durations = append(u.Durations, now)
 		}
 	}
--- a/control/links.go
+++ b/control/links.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// awaitSmall waits until the priority lane holds no entries: at most one call.
+// awaitSmall waits until the priority lane holds no entries, which takes at most one call.
 func (p *peerLink) awaitSmall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/control/orders.go
+++ b/control/orders.go
@@ -71,9 +71,9 @@
 }
 
 // orderSources returns the replicas that a worker's agent should ask for orders, none for the
-// leader itself. The leader serves a share of own agents; every other agent is assigned to a
-// voter, in its own data centre if there is one. Voters learn of each commit within one heartbeat
-// round, and many leases cause many such rounds.
+// leader itself. The leader serves about own of the workers' agents; every other agent is assigned
+// to a voter, in its own data centre if there is one. Voters learn of each commit within one
+// heartbeat round, and many leases cause many such rounds.
 func orderSources(set quorum.Config, leader uint64, w *jobs.Worker, workers, own int) []string {
 	at := position(w.ID)
 	if at*float64(workers) < float64(own) {
--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -38,40 +38,40 @@
 }
 
 // observe evaluates the leader's latest status.
-func (w *replicaSetMonitor) observe(st quorum.Status, must int, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *replicaSetMonitor) observe(st quorum.Status, must int, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	spare := st.Spare()
 	if st.Role != quorum.Leader || spare >= must {
-		w.end(st.Role == quorum.Leader)
+		m.end(st.Role == quorum.Leader)
 		return
 	}
 	next := Shortage{Since: now, Tolerated: spare, Required: must, Why: shortageOf(st, must)}
-	if w.short == nil {
+	if m.short == nil {
 		shortages.Inc()
 	} else {
-		next.Since = w.short.Since
+		next.Since = m.short.Since
 	}
-	if w.short == nil || w.short.Tolerated != next.Tolerated {
+	if m.short == nil || m.short.Tolerated != next.Tolerated {
 		logrus.WithFields(logrus.Fields{"bears": next.Tolerated, "must_bear": must, "why": next.Why}).
 			Warn("control: The replica set tolerates fewer losses than required.")
 	}
-	w.short = &next
+	m.short = &next
 }
 
-func (w *replicaSetMonitor) end(recovered bool) {
-	if w.short != nil && recovered {
-		logrus.WithFields(logrus.Fields{"short_for": time.Since(w.short.Since).Round(time.Millisecond).String()}).
+func (m *replicaSetMonitor) end(recovered bool) {
+	if m.short != nil && recovered {
+		logrus.WithFields(logrus.Fields{"short_for": time.Since(m.short.Since).Round(time.Millisecond).String()}).
 			Info("control: The replica set tolerates the required losses again.")
 	}
-	w.short = nil
+	m.short = nil
 }
 
 // current returns the shortage, nil for none.
-func (w *replicaSetMonitor) current() *Shortage {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.short
+func (m *replicaSetMonitor) current() *Shortage {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.short
 }
 
 // shortageOf describes the shortage: voters that do not answer or are being replaced, learners
--- a/control/stalldetector.go
+++ b/control/stalldetector.go
@@ -25,30 +25,30 @@
 }
 
 // observe records that the process is running now.
-func (p *stallDetector) observe(now clock.Instant) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.last.IsZero() || now.Sub(p.last) >= stallThreshold {
-		p.resumed = now
+func (d *stallDetector) observe(now clock.Instant) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.last.IsZero() || now.Sub(d.last) >= stallThreshold {
+		d.resumed = now
 	}
-	p.last = now
+	d.last = now
 }
 
 // runningFor returns how long the process has run without a stall. It checks for one first, since
 // the ticker need not have fired since the process resumed.
-func (p *stallDetector) runningFor(now clock.Instant) time.Duration {
-	p.observe(now)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.resumed)
+func (d *stallDetector) runningFor(now clock.Instant) time.Duration {
+	d.observe(now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return now.Sub(d.resumed)
 }
 
 // run checks periodically until the context ends.
-func (p *stallDetector) run(ctx context.Context) error {
+func (d *stallDetector) run(ctx context.Context) error {
 	tick := time.NewTicker(stallCheckInterval)
 	defer tick.Stop()
 	for {
-		p.observe(clock.Now())
+		d.observe(clock.Now())
 		select {
 		case <-ctx.Done():
 			return nil
--- a/control/waitstarts.go
+++ b/control/waitstarts.go
@@ -20,42 +20,42 @@
 }
 
 // submitted records when the submission of a job arrived. Repeated calls have no effect.
-func (s *waitStarts) submitted(job string, at time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if _, ok := s.submittedAt[job]; !ok {
-		s.submittedAt[job] = at
+func (w *waitStarts) submitted(job string, at time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if _, ok := w.submittedAt[job]; !ok {
+		w.submittedAt[job] = at
 	}
 }
 
 // ended records the steps whose last end was in a report that arrived at the given time and is
 // now committed.
-func (s *waitStarts) ended(state *jobs.State, ends []jobs.End, at time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (w *waitStarts) ended(state *jobs.State, ends []jobs.End, at time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, e := range ends {
 		g := state.Group(e.Task)
 		if e.Outcome != jobs.OutcomeDone || g == nil {
 			continue
 		}
 		if open, _ := g.Open(); open == 0 {
-			s.endedAt[g.Key()] = at
+			w.endedAt[g.Key()] = at
 		}
 	}
 }
 
 // fill sets, in a plan that is made now, since when the tasks that are placed for the first time
 // have waited. Repeated occurrences are excluded, since they are due at their own time.
-func (s *waitStarts) fill(state *jobs.State, plan *jobs.Plan, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (w *waitStarts) fill(state *jobs.State, plan *jobs.Plan, now time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for i := range plan.Placements {
 		p := &plan.Placements[i]
 		g := state.Group(jobs.Ref{Job: p.Job, Occurrence: p.Occurrence, Step: p.Step})
 		if g == nil || p.Copy || g.DueAt() > 0 {
 			continue
 		}
-		if since := s.since(g); !since.IsZero() {
+		if since := w.since(g); !since.IsZero() {
 			p.SinceMS = plan.AtMS - now.Sub(since).Milliseconds()
 		}
 	}
@@ -63,12 +63,12 @@
 
 // since returns when a group's tasks began to wait, zero if that is unknown. The caller holds the
 // lock.
-func (s *waitStarts) since(g *jobs.Group) (since time.Time) {
+func (w *waitStarts) since(g *jobs.Group) (since time.Time) {
 	if len(g.Step().DependsOn) == 0 {
-		return s.submittedAt[g.Job().ID]
+		return w.submittedAt[g.Job().ID]
 	}
 	for _, d := range g.Step().DependsOn {
-		if at := s.endedAt[jobs.GroupKey{Job: g.Job().ID, Occurrence: g.Occurrence(), Step: d}]; at.After(since) {
+		if at := w.endedAt[jobs.GroupKey{Job: g.Job().ID, Occurrence: g.Occurrence(), Step: d}]; at.After(since) {
 			since = at
 		}
 	}
@@ -76,17 +76,17 @@
 }
 
 // forget drops the entries of jobs that are no longer known.
-func (s *waitStarts) forget(known func(job string) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for job := range s.submittedAt {
+func (w *waitStarts) forget(known func(job string) bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for job := range w.submittedAt {
 		if !known(job) {
-			delete(s.submittedAt, job)
+			delete(w.submittedAt, job)
 		}
 	}
-	for key := range s.endedAt {
+	for key := range w.endedAt {
 		if !known(key.Job) {
-			delete(s.endedAt, key)
+			delete(w.endedAt, key)
 		}
 	}
 }
--- a/runner/pacer.go
+++ b/runner/pacer.go
@@ -310,7 +310,7 @@
 	return out
 }
 
-// learn stores the leader's costs of the pairs of images on this worker.
+// learn stores the costs of pairs of images that the leader has sent.
 func (p *pacer) learn(costs []control.PairCost) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
