--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -54,7 +54,7 @@
 	}
 	if m.short == nil || m.short.Tolerated != next.Tolerated {
 		logrus.WithFields(logrus.Fields{"bears": next.Tolerated, "must_bear": must, "why": next.Why}).
-			Warn("control: The replica set tolerates fewer losses than required.")
+			Warn("control: The replica set bears fewer losses than it must.")
 	}
 	m.short = &next
 }
@@ -62,7 +62,7 @@
 func (m *replicaSetMonitor) end(recovered bool) {
 	if m.short != nil && recovered {
 		logrus.WithFields(logrus.Fields{"short_for": time.Since(m.short.Since).Round(time.Millisecond).String()}).
-			Info("control: The replica set tolerates the required losses again.")
+			Info("control: The replica set bears again as many losses as it must.")
 	}
 	m.short = nil
 }
--- a/control/utilisation.go
+++ b/control/utilisation.go
@@ -38,7 +38,7 @@
 	})
 	logrus.WithFields(logrus.Fields{"workers": workers, "draining": draining, "serving_workers": serving, "milli_cpu": capacity,
 		"held": held, "serving": servingCPU, "filling": filling, "live_jobs": live, "waiting_steps": groups, "waiting_tasks": waitingTasks}).
-		Info("control: Utilisation of the workers.")
+		Info("control: How full the workers are.")
 	d.costs.expire(time.Now())
 	d.costs.logPairs()
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -336,7 +336,7 @@
 		return fmt.Errorf("instance.name is missing; give the instance a name of its own")
 	}
 	if s.Instance.DataCentre == "" {
-		return fmt.Errorf("instance.data_centre is missing; name the data centre that the instance is in")
+		return fmt.Errorf("instance.data_centre is missing; name the data centre the instance stands in")
 	}
 	if _, err := netip.ParseAddr(s.Instance.IP); err != nil {
 		return fmt.Errorf("instance.ip %q is not an IP number; give the address to bind and dial from", s.Instance.IP)
