--- a/proof/crashing_test.go
+++ b/proof/crashing_test.go
@@ -33,9 +33,9 @@
 // Only ends that a worker reports as failed used to count as failures, and a crashed worker
 // reports none: its runs become void and wait again as if they had not started. The worker
 // returns after 3.5 s under a new name and empty, so it gets all waiting tasks at the same time
-// and the next crash follows, every 3.6 s. Without the limit this test shows 30 times the log
-// line "The worker took the place of another incarnation, whose runs are void", no run that ends
-// as failed, and run numbers up to 16 for both tasks.
+// and the next crash follows, every 3.6 s. Without the limit this test shows 30 times the
+// control's warning that a worker took the place of another incarnation whose runs are void, no
+// run that ends as failed, and run numbers up to 16 for both tasks.
 func TestTaskThatCrashesItsWorkersFails(t *testing.T) {
 	isolateTest(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/proof/soak_faults_test.go
+++ b/proof/soak_faults_test.go
@@ -348,7 +348,7 @@
 }
 
 // drainAroundFreeze drains workers shortly before, during or after a stop of the control or of
-// its leader.
+// its leader. Stopped replicas resume one after the other.
 func (s *soak) drainAroundFreeze() func() {
 	agents := s.drawAgents(2 + s.rng.Intn(len(s.agents)))
 	d, drainTime, wait := s.drawTime(1, 8), s.drawTime(0.5, 5), s.drawTime(0, 1.5)
--- a/standin/agents.go
+++ b/standin/agents.go
@@ -33,7 +33,7 @@
 	o        AgentsOptions
 	Renewals atomic.Int64
 	Failed   atomic.Int64
-	Started  atomic.Int64 // attempts that the agents told their workers to start
+	Started  atomic.Int64 // attempts that the agents ordered their workers to start
 	Revision []atomic.Uint64
 }
 
--- a/standin/host.go
+++ b/standin/host.go
@@ -14,7 +14,7 @@
 type Host struct {
 	name         string
 	restartDelay time.Duration // from a crash until the next incarnation starts
-	milliCPU     int64         // initial capacity of each incarnation in thousandths of a processor, 0 for no limit
+	milliCPU     int64         // initial capacity of an incarnation, 0 for no limit
 
 	mu           sync.Mutex
 	current      *Runs // nil between two incarnations
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -94,7 +94,7 @@
 	return out
 }
 
-// Leave makes the instance announce that it is leaving and takes no more work.
+// Leave makes the instance announce that it is leaving, so that it gets no more requests.
 func (u *Upstream) Leave() { u.leaving.Store(true) }
 
 // Mute stops the heartbeats, as a failing instance does.
