--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -25,7 +25,7 @@
 // prepareJobs sends a configuration and registers worker "w" at the leader.
 func (c *cluster) prepareJobs(processors int64) {
 	c.t.Helper()
-	w := jobs.Worker{ID: "w", Agent: "a", Life: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: processors * 1000}}
+	w := jobs.Worker{ID: "w", Agent: "a", Session: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: processors * 1000}}
 	c.wait("the configuration and the worker", func() bool {
 		l := c.leader()
 		if l < 0 {
@@ -104,7 +104,7 @@
 func TestOrdersCarryTheStartOfTheWait(t *testing.T) {
 	state, s := jobs.NewState(), newWaitStarts()
 	rules := jobs.Rules{Cordoned: func(string) bool { return false }, Service: func(string, string) string { return "vault" }, MaxAttempts: func(string, string) int { return 3 }}
-	state.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Life: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}, 1)
+	state.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Session: "1", Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}, 1)
 	const id = "00000000000000aa"
 	first, second := jobs.Step{Count: 1}, jobs.Step{Count: 1, DependsOn: []int{0}}
 	if err := state.ApplySubmit(jobs.Submit{ID: id, Spec: jobs.Spec{Steps: []jobs.Step{first, second}}}, 2, 0); err != nil {
--- a/control/jobs.go
+++ b/control/jobs.go
@@ -189,7 +189,7 @@
 }
 
 func (r *Replica) onRegister(w Registration) (Registered, error) {
-	if w.ID == "" || w.Agent == "" || w.Life == "" {
+	if w.ID == "" || w.Agent == "" || w.Session == "" {
 		return Registered{}, refusal.New(refusal.Invalid, "run the same version on both sides", "the registration names no worker, agent or session")
 	}
 	if err := r.checkService(&w.Worker); err != nil {
--- a/control/leases.go
+++ b/control/leases.go
@@ -21,7 +21,7 @@
 // registration returns the registration for which this session of an agent may speak, or a
 // refusal.
 func (s *State) registration(ref WorkerRef) (*jobs.Worker, error) {
-	if w := s.Jobs.Workers[ref.Worker]; w != nil && w.Life == ref.Life {
+	if w := s.Jobs.Workers[ref.Worker]; w != nil && w.Session == ref.Session {
 		return w, nil
 	}
 	return nil, notRegistered(ref.Worker)
--- a/control/longestlease_test.go
+++ b/control/longestlease_test.go
@@ -54,7 +54,7 @@
 	if done, err := l.onRegister(Registration{Worker: w, Update: true}); err != nil || done.LentMS != 0 {
 		t.Fatalf("after the update: %+v, %v", done, err)
 	}
-	w.Life, w.LentLate, w.Token = "b3", true, c.token(l, "b")
+	w.Session, w.LentLate, w.Token = "b3", true, c.token(l, "b")
 	if done, err := l.onRegister(Registration{Worker: w}); err != nil || done.LentMS != 0 {
 		t.Errorf("a later session with the same incarnation: %+v, %v", done, err)
 	}
--- a/control/loss_test.go
+++ b/control/loss_test.go
@@ -33,7 +33,7 @@
 }
 
 func testWorker(id, agent, session string) jobs.Worker {
-	return jobs.Worker{ID: id, Agent: agent, Life: session, Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}
+	return jobs.Worker{ID: id, Agent: agent, Session: session, Service: "vault", Capacity: resource.Vector{MilliCPU: 4000}}
 }
 
 // Guards against runs that are made void although the worker has a lease: the loss was decided
@@ -115,7 +115,7 @@
 	if err != nil || next.Worker != "" {
 		t.Fatalf("the next session gets worker %q (%v)", next.Worker, err)
 	}
-	w.Token, w.Life = next.Token, "b2"
+	w.Token, w.Session = next.Token, "b2"
 	if _, err := l.onRegister(Registration{Worker: w}); err != nil {
 		t.Errorf("the next session: %v", err)
 	}
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -112,8 +112,8 @@
 
 // WorkerRef identifies one session of an agent with one incarnation of a worker.
 type WorkerRef struct {
-	Worker string `msgpack:"w"`
-	Life   string `msgpack:"l"`
+	Worker  string `msgpack:"w"`
+	Session string `msgpack:"l"`
 }
 
 // LeaseRequest asks for permission to keep a worker's runs going.
--- a/control/orders_test.go
+++ b/control/orders_test.go
@@ -57,9 +57,9 @@
 // orders has not applied its registration yet and must not answer that it is not registered.
 func TestFollowerThatIsBehindEndsNoSession(t *testing.T) {
 	s := NewState()
-	s.Jobs.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Life: "old", Service: "vault"}, 5)
+	s.Jobs.ApplyRegister(jobs.Worker{ID: "w", Agent: "a", Session: "old", Service: "vault"}, 5)
 	s.Index = 7
-	ref := WorkerRef{Worker: "w", Life: "new"}
+	ref := WorkerRef{Worker: "w", Session: "new"}
 	cases := []struct {
 		name       string
 		registered uint64
@@ -77,7 +77,7 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	if err := s.checkSession(&OrdersRequest{WorkerRef: WorkerRef{Worker: "w", Life: "old"}}, false); err != nil {
+	if err := s.checkSession(&OrdersRequest{WorkerRef: WorkerRef{Worker: "w", Session: "old"}}, false); err != nil {
 		t.Errorf("a registered session: %v", err)
 	}
 }
--- a/control/register_test.go
+++ b/control/register_test.go
@@ -16,7 +16,7 @@
 	c := newCluster(t)
 	c.prepareJobs(4)
 	l := c.replicas[c.leader()]
-	unknown := jobs.Worker{ID: "x", Agent: "b", Life: "1", Service: "nobody's", Capacity: resource.Vector{MilliCPU: 1000}}
+	unknown := jobs.Worker{ID: "x", Agent: "b", Session: "1", Service: "nobody's", Capacity: resource.Vector{MilliCPU: 1000}}
 	_, err := l.onRegister(Registration{Worker: unknown})
 	if e, ok := refusal.Of(err); !ok || e.Code != refusal.UnknownService {
 		t.Fatalf("a worker of an unknown service: %v", err)
@@ -29,7 +29,7 @@
 	if _, err := l.PutConfig(PutConfig{Config: queues.Config{Version: 2, Services: []queues.Service{{Name: "other"}}}}); err != nil {
 		t.Fatal(err)
 	}
-	known := jobs.Worker{ID: "w", Agent: "a", Life: "2", Service: "vault", Draining: true, Capacity: resource.Vector{MilliCPU: 4000}}
+	known := jobs.Worker{ID: "w", Agent: "a", Session: "2", Service: "vault", Draining: true, Capacity: resource.Vector{MilliCPU: 4000}}
 	if _, err := l.onRegister(Registration{Worker: known}); err != nil {
 		t.Errorf("a worker whose service was taken out: %v", err)
 	}
@@ -52,13 +52,13 @@
 	if err != nil || err2 != nil || first.Worker != "w" || second.Token <= first.Token {
 		t.Fatalf("tokens %+v and %+v (%v, %v)", first, second, err, err2)
 	}
-	w := jobs.Worker{ID: "w#2", Agent: "a", Life: "b", Service: "vault", Token: second.Token, Capacity: resource.Vector{MilliCPU: 4000}}
+	w := jobs.Worker{ID: "w#2", Agent: "a", Session: "b", Service: "vault", Token: second.Token, Capacity: resource.Vector{MilliCPU: 4000}}
 	got, err := l.onRegister(Registration{Worker: w})
 	kept := l.machine.state.Jobs.Workers["w#2"]
 	if err != nil || kept == nil || kept.Token != second.Token || got.Index != kept.Registered {
 		t.Fatalf("registered with %+v, kept as %+v (%v)", got, kept, err)
 	}
-	w.ID, w.Life, w.Token = "w#1", "a", first.Token
+	w.ID, w.Session, w.Token = "w#1", "a", first.Token
 	if _, err := l.onRegister(Registration{Worker: w}); !refusal.Is(err, refusal.NotRegistered) {
 		t.Errorf("the superseded session: %v", err)
 	}
--- a/control/waves_test.go
+++ b/control/waves_test.go
@@ -194,7 +194,7 @@
 		}
 	}
 	want("w")
-	register(jobs.Worker{ID: "w#7", Life: "2"})
+	register(jobs.Worker{ID: "w#7", Session: "2"})
 	want("w#7")
 	wave := upkeep.Wave{Number: 5, Machines: []string{"m0"}, DurationMS: 60_000, MaxConcurrent: 1}
 	if _, err := l.proposeJob(JobCommand{Wave: &StartWave{Wave: wave, AtMS: 1}}); err != nil {
@@ -204,10 +204,10 @@
 	if _, err := l.proposeJob(JobCommand{Marks: []upkeep.Mark{mark}}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := l.onWorkerGone(WorkerRef{Worker: "w#7", Life: "2"}); err != nil {
+	if _, err := l.onWorkerGone(WorkerRef{Worker: "w#7", Session: "2"}); err != nil {
 		t.Fatal(err)
 	}
 	want("w#7") // the machine is down, no worker is registered there
-	register(jobs.Worker{ID: "w#3", Life: "3"})
+	register(jobs.Worker{ID: "w#3", Session: "3"})
 	want("w#3")
 }
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -51,7 +51,7 @@
 	s := &harness{State: jobs.NewState(), t: t}
 	for i := range workers {
 		s.index++
-		s.ApplyRegister(jobs.Worker{ID: fmt.Sprintf("w%d", i), Agent: fmt.Sprint(i), Life: "1", Service: "vault",
+		s.ApplyRegister(jobs.Worker{ID: fmt.Sprintf("w%d", i), Agent: fmt.Sprint(i), Session: "1", Service: "vault",
 			Labels: []string{"a", fmt.Sprintf("r%d", i)}, Rack: fmt.Sprintf("r%d", i/2), Capacity: resource.Vector{MilliCPU: 10_000, MemoryMB: 10_000}}, s.index)
 	}
 	s.in = Input{Jobs: s.State, Config: &config, Estimates: &Estimates{Durations: declaredDurations{}}}
--- a/jobs/register.go
+++ b/jobs/register.go
@@ -21,7 +21,7 @@
 // second registration or a later one. It is outdated unless its session is the registered one,
 // whatever its token, since sessions switch to higher tokens.
 func (s *State) Outdated(w *Worker, update bool) error {
-	if now := s.byAgent[w.Agent]; now != nil && now.Life == w.Life {
+	if now := s.byAgent[w.Agent]; now != nil && now.Session == w.Session {
 		return nil // an update, or the same registration again
 	}
 	if !update && (w.Token == 0 || s.Tokens[w.Agent] < w.Token) {
@@ -52,7 +52,7 @@
 	}
 	s.recordToken(&w)
 	s.forgetTokens(index)
-	if old != nil && old.Life == w.Life {
+	if old != nil && old.Session == w.Session {
 		w.Token = old.Token
 		w.Draining = w.Draining || old.Draining
 	}
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -38,7 +38,7 @@
 func (w *fixture) next() uint64 { w.index++; return w.index }
 
 func (w *fixture) register(id, agent, life string) Worker {
-	return w.ApplyRegister(Worker{ID: id, Agent: agent, Life: life, Service: "vault", Labels: []string{"a", "r1"},
+	return w.ApplyRegister(Worker{ID: id, Agent: agent, Session: life, Service: "vault", Labels: []string{"a", "r1"},
 		Capacity: resource.Vector{MilliCPU: 4000, MemoryMB: 1000}}, w.next()).Worker
 }
 
@@ -295,7 +295,7 @@
 // or a delayed call. The registration must be refused, also by a state restored from a snapshot.
 func TestSessionOfALostWorkerIsOutdated(t *testing.T) {
 	w := newFixture(t)
-	session := Worker{ID: "w1", Agent: "a", Life: "life-1", Service: "vault", Token: 5}
+	session := Worker{ID: "w1", Agent: "a", Session: "life-1", Service: "vault", Token: 5}
 	w.ApplyRegister(session, 10)
 	if err := w.Outdated(&session, true); err != nil {
 		t.Fatalf("an update of the present session was refused: %v", err)
@@ -310,12 +310,12 @@
 		if s.Outdated(&raised, true) == nil {
 			t.Error("the session of a lost worker can register again with a higher token")
 		}
-		next := Worker{ID: "w1", Agent: "a", Life: "life-2", Service: "vault", Token: 6}
+		next := Worker{ID: "w1", Agent: "a", Session: "life-2", Service: "vault", Token: 6}
 		if err := s.Outdated(&next, false); err != nil {
 			t.Errorf("the next session was refused: %v", err)
 		}
 	}
-	w.ApplyRegister(Worker{ID: "w1", Agent: "a", Life: "life-2", Service: "vault", Token: 6}, 20)
+	w.ApplyRegister(Worker{ID: "w1", Agent: "a", Session: "life-2", Service: "vault", Token: 6}, 20)
 	w.Tokens = nil // as in a snapshot of an earlier version
 	if s := restoreSnapshot(t, w.State); s.Outdated(&session, false) == nil {
 		t.Error("a session that was followed by another can register again")
@@ -327,7 +327,7 @@
 	w := newFixture(t)
 	for i := range retainedTokens + 10 {
 		id := fmt.Sprint("w", i)
-		w.ApplyRegister(Worker{ID: id, Agent: id, Life: "1", Service: "vault"}, uint64(i+1))
+		w.ApplyRegister(Worker{ID: id, Agent: id, Session: "1", Service: "vault"}, uint64(i+1))
 		if i > 0 {
 			w.lose(id)
 		}
@@ -335,7 +335,7 @@
 	if len(w.Tokens) != retainedTokens+10 {
 		t.Fatalf("%d tokens are kept, want all of agents whose messages may still be in transit", len(w.Tokens))
 	}
-	w.ApplyRegister(Worker{ID: "late", Agent: "late", Life: "1", Service: "vault"}, 2*tokenRetention)
+	w.ApplyRegister(Worker{ID: "late", Agent: "late", Session: "1", Service: "vault"}, 2*tokenRetention)
 	if len(w.Tokens) != 2 || w.Tokens["w0"] == 0 {
 		t.Errorf("%d tokens are kept, want 2; the token of a registered agent is %d", len(w.Tokens), w.Tokens["w0"])
 	}
--- a/jobs/types.go
+++ b/jobs/types.go
@@ -255,8 +255,8 @@
 	// Token is the fencing token of the agent's present session. It is a log index, so it rises
 	// with each session.
 	Token uint64 `msgpack:"t"`
-	// Life identifies the agent's session: one process lifetime of the agent.
-	Life string `msgpack:"f"`
+	// Session identifies the agent's session: one process lifetime of the agent.
+	Session string `msgpack:"f"`
 	// Registered is the log index of the newest registration.
 	Registered uint64 `msgpack:"r"`
 	Draining   bool   `msgpack:"d,omitempty"`
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -532,13 +532,13 @@
 		if c.worker != "" && c.worker != q.ID {
 			c.orders = make(map[runKey]*order)
 		}
-		c.worker, c.session = q.ID, q.Life
+		c.worker, c.session = q.ID, q.Session
 		c.lentLate = append(c.lentLate, q.LentLate)
 		if resp.(*control.Registered).Index = c.index; q.LentLate {
 			resp.(*control.Registered).LentMS = c.lentMS
 		}
 	case *control.LeaseRequest:
-		if q.Life != c.session {
+		if q.Session != c.session {
 			return refusal.New(refusal.NotRegistered, "", "")
 		}
 		a := resp.(*control.LeaseAnswer)
@@ -567,7 +567,7 @@
 func (c *fakeControl) waitOrders(q *control.OrdersRequest, a *control.OrdersAnswer) error {
 	deadline := time.After(time.Duration(q.WaitMS) * time.Millisecond)
 	for {
-		if q.Life != c.session {
+		if q.Session != c.session {
 			return refusal.New(refusal.NotRegistered, "", "")
 		}
 		for _, o := range c.orders {
--- a/runner/register.go
+++ b/runner/register.go
@@ -34,7 +34,7 @@
 func (s *session) sendRegistration() error {
 	a := s.announced()
 	w := control.Registration{Crash: s.r.crash, Update: s.registered.Load() != 0, Worker: jobs.Worker{ID: a.Worker, Agent: s.r.agent, Service: a.Service, DataCentre: a.DataCentre,
-		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Life: s.id, Draining: a.Draining,
+		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Session: s.id, Draining: a.Draining,
 		LentLate: !a.OwnID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
 	var done control.Registered
 	if err := s.r.ctl.Call(control.PathRegister, controlTimeout, &w, &done); err != nil {
--- a/runner/session.go
+++ b/runner/session.go
@@ -206,7 +206,7 @@
 func (s *session) target() Target { return Target{s.worker, s.token.Load()} }
 
 func (s *session) ref() control.WorkerRef {
-	return control.WorkerRef{Worker: s.worker, Life: s.id}
+	return control.WorkerRef{Worker: s.worker, Session: s.id}
 }
 
 func (s *session) sleep(d time.Duration) {
