--- a/control/jobs.go
+++ b/control/jobs.go
@@ -206,8 +206,8 @@
 	r.dispatcher.registered(&done.Worker)
 	r.logRegistration(&w, &done)
 	answer := Registered{Index: done.Worker.Registered}
-	if done.Worker.LentLate {
-		answer.LentMS = r.longestLease().Milliseconds()
+	if done.Worker.LateLease {
+		answer.LateLeaseMS = r.longestLease().Milliseconds()
 	}
 	return answer, nil
 }
--- a/control/leases.go
+++ b/control/leases.go
@@ -45,7 +45,7 @@
 // track adds a registration to the lease table if it is missing. The caller holds the lock.
 func (d *dispatcher) track(w *jobs.Worker, now time.Time) {
 	term := time.Duration(0)
-	if w.LentLate {
+	if w.LateLease {
 		term = d.r.set.Control.LongestLease.Duration
 	}
 	d.keeper.NoteFor(holderOf(w), now, term)
--- a/control/longestlease_test.go
+++ b/control/longestlease_test.go
@@ -18,14 +18,14 @@
 	}
 	first := testWorker("x-1", "b", "b1")
 	first.Token = c.token(l, "b")
-	if done, err := l.onRegister(Registration{Worker: first}); err != nil || done.LentMS != 0 {
+	if done, err := l.onRegister(Registration{Worker: first}); err != nil || done.LateLeaseMS != 0 {
 		t.Fatalf("the agent's first worker: %+v, %v", done, err)
 	}
 	next := testWorker("x-2", "b", "b2")
-	next.Token, next.LentLate = c.token(l, "b"), true
+	next.Token, next.LateLease = c.token(l, "b"), true
 	begun := time.Now()
 	done, err := l.onRegister(Registration{Worker: next})
-	if err != nil || done.LentMS <= longest.Milliseconds() {
+	if err != nil || done.LateLeaseMS <= longest.Milliseconds() {
 		t.Fatalf("the agent gets %+v, %v", done, err)
 	}
 	c.wait("the lease's end", func() bool { return !isRegistered(l, "x-2") })
@@ -46,16 +46,16 @@
 		t.Fatal(err)
 	}
 	w = testWorker("x-2", "b", "b2")
-	w.Token, w.LentLate = c.token(l, "b"), true
+	w.Token, w.LateLease = c.token(l, "b"), true
 	if _, err := l.onRegister(Registration{Worker: w}); err != nil {
 		t.Fatal(err)
 	}
-	w.LentLate = false
-	if done, err := l.onRegister(Registration{Worker: w, Update: true}); err != nil || done.LentMS != 0 {
+	w.LateLease = false
+	if done, err := l.onRegister(Registration{Worker: w, Update: true}); err != nil || done.LateLeaseMS != 0 {
 		t.Fatalf("after the update: %+v, %v", done, err)
 	}
-	w.Session, w.LentLate, w.Token = "b3", true, c.token(l, "b")
-	if done, err := l.onRegister(Registration{Worker: w}); err != nil || done.LentMS != 0 {
+	w.Session, w.LateLease, w.Token = "b3", true, c.token(l, "b")
+	if done, err := l.onRegister(Registration{Worker: w}); err != nil || done.LateLeaseMS != 0 {
 		t.Errorf("a later session with the same incarnation: %+v, %v", done, err)
 	}
 }
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -104,10 +104,10 @@
 	// Index is the log index of the registration. A replica that has not applied it does not know
 	// the registration.
 	Index uint64 `msgpack:"i"`
-	// LentMS is how long the worker's lease may outlast what the control grants, because a late
+	// LateLeaseMS is how long the worker's lease may outlast what the control grants, because a late
 	// call extended it before the worker was fenced; 0 if it cannot. After that time the agent
 	// registers the worker without LentLate.
-	LentMS int64 `msgpack:"l,omitempty"`
+	LateLeaseMS int64 `msgpack:"l,omitempty"`
 }
 
 // WorkerRef identifies one session of an agent with one incarnation of a worker.
--- a/jobs/register.go
+++ b/jobs/register.go
@@ -42,9 +42,9 @@
 	}
 	old := s.Workers[w.ID]
 	if old != nil {
-		w.LentLate = w.LentLate && old.LentLate
+		w.LateLease = w.LateLease && old.LateLease
 	} else if s.Tokens[w.Agent] == 0 {
-		w.LentLate = false // the agent is new: no earlier incarnation was sent any calls
+		w.LateLease = false // the agent is new: no earlier incarnation was sent any calls
 	}
 	w.Registered = index
 	if w.Token == 0 {
--- a/jobs/types.go
+++ b/jobs/types.go
@@ -260,11 +260,11 @@
 	// Registered is the log index of the newest registration.
 	Registered uint64 `msgpack:"r"`
 	Draining   bool   `msgpack:"d,omitempty"`
-	// LentLate is set if calls for the previous incarnation may have reached this one and extended
+	// LateLease is set if calls for the previous incarnation may have reached this one and extended
 	// its lease, before the agent fenced it just ahead of its first registration. The lease may
 	// then be as long as the longest that workers accept. The agent clears the flag once that time
 	// has passed.
-	LentLate bool `msgpack:"n,omitempty"`
+	LateLease bool `msgpack:"n,omitempty"`
 }
 
 // Loss identifies a worker whose lease has ended, by its registration when that was decided.
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -533,9 +533,9 @@
 			c.orders = make(map[runKey]*order)
 		}
 		c.worker, c.session = q.ID, q.Session
-		c.lentLate = append(c.lentLate, q.LentLate)
-		if resp.(*control.Registered).Index = c.index; q.LentLate {
-			resp.(*control.Registered).LentMS = c.lentMS
+		c.lentLate = append(c.lentLate, q.LateLease)
+		if resp.(*control.Registered).Index = c.index; q.LateLease {
+			resp.(*control.Registered).LateLeaseMS = c.lentMS
 		}
 	case *control.LeaseRequest:
 		if q.Session != c.session {
--- a/runner/register.go
+++ b/runner/register.go
@@ -35,15 +35,15 @@
 	a := s.announced()
 	w := control.Registration{Crash: s.r.crash, Update: s.registered.Load() != 0, Worker: jobs.Worker{ID: a.Worker, Agent: s.r.agent, Service: a.Service, DataCentre: a.DataCentre,
 		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Session: s.id, Draining: a.Draining,
-		LentLate: !a.OwnID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
+		LateLease: !a.OwnID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
 	var done control.Registered
 	if err := s.r.ctl.Call(control.PathRegister, controlTimeout, &w, &done); err != nil {
 		return err
 	}
 	s.registered.Store(done.Index)
 	s.r.crash, s.r.registered = nil, a.Worker // registrations of a session don't overlap
-	if done.LentMS > 0 {
-		s.awaitLateLease(time.Duration(done.LentMS) * time.Millisecond)
+	if done.LateLeaseMS > 0 {
+		s.awaitLateLease(time.Duration(done.LateLeaseMS) * time.Millisecond)
 	}
 	return nil
 }
