--- a/cmd/waxwinghaven/graph.go
+++ b/cmd/waxwinghaven/graph.go
@@ -118,7 +118,7 @@
 	return c.show(list, func(w *tabwriter.Writer) {
 		fmt.Fprintln(w, "JOB\tQUEUE\tPHASE\tTASKS\tDONE\tPLACED\tSTEPS\tWHY")
 		for _, j := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", j.ID, j.Queue, j.Phase, j.Tasks, j.Done, j.Placed, j.Steps, j.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", j.ID, j.Queue, j.Phase, j.Tasks, j.Done, j.Placed, j.Steps, j.FailureReason)
 		}
 	})
 }
--- a/control/operator_jobs.go
+++ b/control/operator_jobs.go
@@ -30,8 +30,8 @@
 	Done     int    `json:"done"`
 	Placed   int    `json:"placed"`
 	Steps    string `json:"steps"`
-	// Why is the reason for which the job failed.
-	Why string `json:"why,omitempty"`
+	// FailureReason is the reason for which the job failed.
+	FailureReason string `json:"why,omitempty"`
 }
 
 // WorkerView is a worker as operators see it.
@@ -127,7 +127,7 @@
 }
 
 func viewJob(j *jobs.Job) JobView {
-	v := JobView{ID: j.ID, Queue: j.Host + j.Prefix, Phase: j.Phase.String(), Accepted: j.AcceptedAt, Steps: j.Spec.String(), Why: j.Why}
+	v := JobView{ID: j.ID, Queue: j.Host + j.Prefix, Phase: j.Phase.String(), Accepted: j.AcceptedAt, Steps: j.Spec.String(), FailureReason: j.FailureReason}
 	for _, g := range j.Groups {
 		open, placed := g.Open()
 		v.Tasks += len(g.Tasks)
--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -256,7 +256,7 @@
 		if g.job.Phase.Over() || !sus.shouldGiveUp(before) {
 			continue
 		}
-		g.job.Why = fmt.Sprintf("task %v was given up: %d workers crashed under it", a.run.Task, sus.Crashes)
+		g.job.FailureReason = fmt.Sprintf("task %v was given up: %d workers crashed under it", a.run.Task, sus.Crashes)
 		s.end(g.job, Failed, index)
 		out = append(out, GivenUp{a.run.Task, sus.Crashes, sus.Odds})
 	}
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -62,8 +62,8 @@
 		t.Fatalf("after two crashes the tasks have the doubts %v and %v", g.Doubt(0), g.Doubt(1))
 	}
 	out := w.crash("w3", 10, w.startOn("w3", crashTask(0)))
-	if len(out) != 1 || out[0].Task != crashTask(0) || w.Jobs[crashID].Phase != Failed || w.Jobs[crashID].Why == "" {
-		t.Fatalf("after the third crash, without other runs, given up %v, the job is %v: %s", out, w.Jobs[crashID].Phase, w.Jobs[crashID].Why)
+	if len(out) != 1 || out[0].Task != crashTask(0) || w.Jobs[crashID].Phase != Failed || w.Jobs[crashID].FailureReason == "" {
+		t.Fatalf("after the third crash, without other runs, given up %v, the job is %v: %s", out, w.Jobs[crashID].Phase, w.Jobs[crashID].FailureReason)
 	}
 	if w.Jobs["00000000000000c2"].Phase != Running && w.Jobs["00000000000000c2"].Phase != Queued {
 		t.Fatalf("the job of the unrelated task is %v", w.Jobs["00000000000000c2"].Phase)
--- a/jobs/run.go
+++ b/jobs/run.go
@@ -369,7 +369,7 @@
 		n = t.Failures
 	}
 	if limit := rules.MaxAttempts(g.job.Host, g.job.Prefix); limit > 0 && n >= limit {
-		g.job.Why = fmt.Sprintf("a task of step %d of occurrence %d failed %d times", g.step, g.occurrence, n)
+		g.job.FailureReason = fmt.Sprintf("a task of step %d of occurrence %d failed %d times", g.step, g.occurrence, n)
 		s.end(g.job, Failed, index)
 	}
 }
--- a/jobs/types.go
+++ b/jobs/types.go
@@ -156,9 +156,9 @@
 	// since 1970. It is used only to order work.
 	AcceptedAt int64    `msgpack:"a"`
 	Groups     []*Group `msgpack:"g"` // by occurrence, then step
-	// Why is the reason of the failure for operators, "" if the job did not fail.
-	Why    string `msgpack:"w,omitempty"`
-	active int    // runs that hold capacity
+	// FailureReason is the reason of the failure for operators, "" if the job did not fail.
+	FailureReason string `msgpack:"w,omitempty"`
+	active        int    // runs that hold capacity
 }
 
 // Group is one step of one occurrence.
