--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -114,7 +114,7 @@
 // outOfService reports whether every data centre that has hosted a worker of the service is out
 // of service. If one is in service but has no worker, its workers may only be restarting.
 func (in *Input) outOfService(service string) bool {
-	hosting := in.Jobs.Stood[service]
+	hosting := in.Jobs.ServiceDataCentres[service]
 	return len(hosting) > 0 && !slices.ContainsFunc(hosting, func(name string) bool { return !in.DataCentres.Cordoned(name) })
 }
 
--- a/dispatch/datacentre_test.go
+++ b/dispatch/datacentre_test.go
@@ -17,7 +17,7 @@
 		s.index++
 		s.ApplyRegister(w, s.index)
 	}
-	delete(s.Stood, "vault")
+	delete(s.ServiceDataCentres, "vault")
 	s.Rebuild()
 	s.in.DataCentres = datacentre.NewState()
 }
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -13,9 +13,9 @@
 type State struct {
 	Jobs    map[string]*Job    `msgpack:"j"`
 	Workers map[string]*Worker `msgpack:"w"` // by worker id
-	// Stood lists, by service, the data centres in which its workers are or have been, sorted. It
+	// ServiceDataCentres lists, by service, the data centres in which its workers are or have been, sorted. It
 	// keeps a data centre whose only worker is being restarted.
-	Stood map[string][]string `msgpack:"s,omitempty"`
+	ServiceDataCentres map[string][]string `msgpack:"s,omitempty"`
 	// Tokens holds, by agent, the highest fencing token with which it has registered. Entries
 	// outlive the registrations, so that delayed registrations are not taken for new ones.
 	Tokens map[string]uint64 `msgpack:"t,omitempty"`
@@ -53,7 +53,7 @@
 
 // NewState returns the empty state.
 func NewState() *State {
-	s := &State{Jobs: make(map[string]*Job), Workers: make(map[string]*Worker), Stood: make(map[string][]string), Tokens: make(map[string]uint64), Beside: make(map[string]string)}
+	s := &State{Jobs: make(map[string]*Job), Workers: make(map[string]*Worker), ServiceDataCentres: make(map[string][]string), Tokens: make(map[string]uint64), Beside: make(map[string]string)}
 	s.Rebuild()
 	return s
 }
@@ -66,8 +66,8 @@
 	if s.Workers == nil {
 		s.Workers = make(map[string]*Worker)
 	}
-	if s.Stood == nil {
-		s.Stood = make(map[string][]string)
+	if s.ServiceDataCentres == nil {
+		s.ServiceDataCentres = make(map[string][]string)
 	}
 	if s.Tokens == nil {
 		s.Tokens = make(map[string]uint64)
@@ -245,9 +245,9 @@
 
 // recordDataCentre records that a service has a worker in its data centre.
 func (s *State) recordDataCentre(w *Worker) {
-	list := s.Stood[w.Service]
+	list := s.ServiceDataCentres[w.Service]
 	if i, found := slices.BinarySearch(list, w.DataCentre); !found {
-		s.Stood[w.Service] = slices.Insert(slices.Clone(list), i, w.DataCentre)
+		s.ServiceDataCentres[w.Service] = slices.Insert(slices.Clone(list), i, w.DataCentre)
 	}
 }
 
