--- a/jobs/register.go
+++ b/jobs/register.go
@@ -67,7 +67,7 @@
 // recordToken records the highest token with which an agent has registered, and its worker.
 func (s *State) recordToken(w *Worker) {
 	s.Tokens[w.Agent] = max(s.Tokens[w.Agent], w.Token)
-	s.Beside[w.Agent] = w.ID
+	s.LastWorkers[w.Agent] = w.ID
 }
 
 const (
@@ -88,7 +88,7 @@
 	maps.DeleteFunc(s.Tokens, func(agent string, token uint64) bool {
 		return s.byAgent[agent] == nil && token+tokenRetention < index
 	})
-	maps.DeleteFunc(s.Beside, func(agent, _ string) bool { return s.Tokens[agent] == 0 })
+	maps.DeleteFunc(s.LastWorkers, func(agent, _ string) bool { return s.Tokens[agent] == 0 })
 }
 
 // IsRegistered reports whether a worker's newest registration is still the one that a loss names.
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -19,8 +19,8 @@
 	// Tokens holds, by agent, the highest fencing token with which it has registered. Entries
 	// outlive the registrations, so that delayed registrations are not taken for new ones.
 	Tokens map[string]uint64 `msgpack:"t,omitempty"`
-	// Beside holds, by agent, the worker that it registered last, even if that was lost since.
-	Beside map[string]string `msgpack:"b,omitempty"`
+	// LastWorkers holds, by agent, the worker that it registered last, even if that was lost since.
+	LastWorkers map[string]string `msgpack:"b,omitempty"`
 
 	byAgent  map[string]*Worker
 	use      map[string]*Use // by worker id
@@ -53,7 +53,7 @@
 
 // NewState returns the empty state.
 func NewState() *State {
-	s := &State{Jobs: make(map[string]*Job), Workers: make(map[string]*Worker), ServiceDataCentres: make(map[string][]string), Tokens: make(map[string]uint64), Beside: make(map[string]string)}
+	s := &State{Jobs: make(map[string]*Job), Workers: make(map[string]*Worker), ServiceDataCentres: make(map[string][]string), Tokens: make(map[string]uint64), LastWorkers: make(map[string]string)}
 	s.Rebuild()
 	return s
 }
@@ -72,8 +72,8 @@
 	if s.Tokens == nil {
 		s.Tokens = make(map[string]uint64)
 	}
-	if s.Beside == nil {
-		s.Beside = make(map[string]string)
+	if s.LastWorkers == nil {
+		s.LastWorkers = make(map[string]string)
 	}
 	s.byAgent = make(map[string]*Worker)
 	s.use = make(map[string]*Use)
