--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -40,7 +40,7 @@
 	for _, st := range p.in.Stuck {
 		stuck[st] = true
 	}
-	return p.in.Jobs.Alone(func(ref jobs.Ref, g *jobs.Group) bool {
+	return p.in.Jobs.CopyCandidates(func(ref jobs.Ref, g *jobs.Group) bool {
 		r := g.Tasks[ref.Index].Placed
 		return stuck[jobs.Stop{Task: ref, Run: r.Run}] || (p.overruns(g, r) && p.worthCopying(g))
 	})
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -360,7 +360,7 @@
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	w.startOn("w2", crashTask(0))
 	p := Plan{Placements: []Placement{{Job: crashID, Indexes: []int{0}, Workers: []string{"w1"}, Copy: true}}}
-	if placed, _ := w.ApplyPlan(p, rules, w.next()); placed != 0 || len(w.Alone(func(Ref, *Group) bool { return true })) != 0 {
+	if placed, _ := w.ApplyPlan(p, rules, w.next()); placed != 0 || len(w.CopyCandidates(func(Ref, *Group) bool { return true })) != 0 {
 		t.Fatal("the suspect got a copy")
 	}
 }
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -201,9 +201,9 @@
 		t.Placed != nil && !t.Placed.Stopping && t.Copy == nil
 }
 
-// Alone returns the running tasks that may have a copy, have none, and for which test returns
+// CopyCandidates returns the running tasks that may have a copy, have none, and for which test returns
 // true, in order.
-func (s *State) Alone(test func(Ref, *Group) bool) []Ref {
+func (s *State) CopyCandidates(test func(Ref, *Group) bool) []Ref {
 	var refs []Ref
 	for ref := range s.copyable {
 		if g := s.group(ref); test(ref, g) {
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -602,7 +602,7 @@
 		t.Fatal("the task waits for placement while its copy runs")
 	}
 	every := func(Ref, *Group) bool { return true }
-	if got := w.Alone(every); len(got) != 1 || w.placeCopy(ref, "w3") != 1 {
+	if got := w.CopyCandidates(every); len(got) != 1 || w.placeCopy(ref, "w3") != 1 {
 		t.Fatalf("the copy can't have a copy: %v", got)
 	}
 	w.ApplyCancel(idA, w.next())
@@ -611,7 +611,7 @@
 			t.Fatalf("%s was sent %+v after the cancel", id, o)
 		}
 	}
-	if len(w.Alone(every)) != 0 {
+	if len(w.CopyCandidates(every)) != 0 {
 		t.Fatal("a cancelled job's task can have a copy")
 	}
 }
