--- a/control/state.go
+++ b/control/state.go
@@ -112,7 +112,7 @@
 		return a, err
 	}
 	s.Members.ApplyCordon(o.Name, s.DataCentres.Cordoned(o.Name), index)
-	s.Jobs.TouchDataCentre(o.Name)
+	s.Jobs.MarkDataCentreChanged(o.Name)
 	return a, nil
 }
 
@@ -185,7 +185,7 @@
 	}
 	m.mu.Lock()
 	v, err := m.state.Apply(index, c)
-	touched := m.state.Jobs.TakeTouched()
+	touched := m.state.Jobs.TakeChangedWorkers()
 	m.mu.Unlock()
 	if m.onTouched != nil {
 		m.onTouched(touched)
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -230,8 +230,8 @@
 	return out
 }
 
-// TakeTouched returns the workers whose orders changed since the last call, and resets the list.
-func (s *State) TakeTouched() []string {
+// TakeChangedWorkers returns the workers whose orders changed since the last call, and resets the list.
+func (s *State) TakeChangedWorkers() []string {
 	t := s.touched
 	s.touched = nil
 	return t
@@ -251,8 +251,8 @@
 	}
 }
 
-// TouchDataCentre marks the orders of all workers in a data centre as changed.
-func (s *State) TouchDataCentre(name string) {
+// MarkDataCentreChanged marks the orders of all workers in a data centre as changed.
+func (s *State) MarkDataCentreChanged(name string) {
 	for id, w := range s.Workers {
 		if w.DataCentre == name {
 			s.touched = append(s.touched, id)
