--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -263,7 +263,7 @@
 // interchangeable.
 func (p *planner) noneSuspected(r request) bool {
 	for i := range r.group.Tasks {
-		if r.group.Doubt(i) != jobs.NoDoubt {
+		if r.group.SuspicionLevel(i) != jobs.NoSuspicion {
 			return false
 		}
 	}
@@ -347,7 +347,7 @@
 // there is none.
 func (p *planner) choose(r request, k int, onWorker map[string]int, running bool, test func(*candidate) bool) *candidate {
 	var suspicion *jobs.Suspicion
-	if r.group.Doubt(k) != jobs.NoDoubt {
+	if r.group.SuspicionLevel(k) != jobs.NoSuspicion {
 		suspicion = r.group.Suspicion(k)
 	}
 	var best *candidate
--- a/dispatch/regroup.go
+++ b/dispatch/regroup.go
@@ -86,7 +86,7 @@
 func (p *planner) mayRegroup(g *jobs.Group, ref jobs.Ref, worker string) bool {
 	st := g.Step()
 	r := g.Tasks[ref.Index].On(worker)
-	if !st.Standing || st.TargetMS == 0 || st.Gang || r == nil || r.Stopping || g.Job().Phase.Over() || g.Doubt(ref.Index) != jobs.NoDoubt {
+	if !st.Standing || st.TargetMS == 0 || st.Gang || r == nil || r.Stopping || g.Job().Phase.Over() || g.SuspicionLevel(ref.Index) != jobs.NoSuspicion {
 		return false
 	}
 	if p.in.NowMS-r.AtMS < settleTime.Milliseconds() {
--- a/dispatch/suspects.go
+++ b/dispatch/suspects.go
@@ -52,7 +52,7 @@
 			}
 			if c := p.candidate(r.Worker); c != nil {
 				c.suspects++
-				c.isolated = c.isolated || g.Doubt(ref.Index) == jobs.LookAlone
+				c.isolated = c.isolated || g.SuspicionLevel(ref.Index) == jobs.Isolate
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 // the same time.
 func (r *request) needsIsolation(k int) bool {
 	g := r.group
-	if g.Tasks[k].Done || g.Tasks[k].Placed != nil || g.Step().Gang || g.Doubt(k) != jobs.LookAlone {
+	if g.Tasks[k].Done || g.Tasks[k].Placed != nil || g.Step().Gang || g.SuspicionLevel(k) != jobs.Isolate {
 		return false
 	}
 	return r.placeableFor <= isolationWait || g.OnlyAlone(k)
@@ -173,11 +173,11 @@
 // markPlaced records that the k-th task of a request was placed on a worker. Nothing else starts
 // beside a gang that is strongly suspected.
 func (p *planner) markPlaced(c *candidate, r request, k int) {
-	if r.group.Doubt(k) == jobs.NoDoubt {
+	if r.group.SuspicionLevel(k) == jobs.NoSuspicion {
 		return
 	}
 	c.suspects++
-	c.isolated = c.isolated || (r.group.Step().Gang && r.group.Doubt(k) == jobs.LookAlone)
+	c.isolated = c.isolated || (r.group.Step().Gang && r.group.SuspicionLevel(k) == jobs.Isolate)
 }
 
 // suspicionCost returns the additional cost of a suspect's placement on a worker.
--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -47,7 +47,7 @@
 // two more starts after the third. So the fifth crash should be the last for the task that causes
 // them, whatever ran beside it before: from then on it is enough that the crash does not lower
 // the odds of a suspect, since a task that takes up to a second to crash its worker does not stand
-// out more than that. Suspects start isolated by then (see Doubt); a crash that lowers a task's
+// out more than that. Suspects start isolated by then (see SuspicionLevel); a crash that lowers a task's
 // odds, or that first makes it a suspect, may well have another cause.
 func (s *Suspicion) shouldGiveUp(before int64) bool {
 	switch {
@@ -71,7 +71,7 @@
 
 // OnlyAlone reports whether a task may start only on a worker where nothing else begins.
 func (g *Group) OnlyAlone(k int) bool {
-	return g.Doubt(k) == LookAlone && g.Suspicion(k).possibleCrashes() >= isolateCrashes
+	return g.SuspicionLevel(k) == Isolate && g.Suspicion(k).possibleCrashes() >= isolateCrashes
 }
 
 // survival gives, by age, the fraction of crashing tasks, in millionths, that have not crashed
@@ -146,24 +146,24 @@
 	Awaits string `msgpack:"w,omitempty"`
 }
 
-// Doubt is the degree of suspicion against a task, which decides where it may start.
-type Doubt uint8
+// SuspicionLevel is the degree of suspicion against a task, which decides where it may start.
+type SuspicionLevel uint8
 
 // The degrees of suspicion.
 const (
-	NoDoubt   Doubt = iota
-	Suspect         // starts apart from other suspects, on workers where a crash affects few runs
-	LookAlone       // starts isolated: nothing else begins on the worker meanwhile
+	NoSuspicion SuspicionLevel = iota
+	Suspect                    // starts apart from other suspects, on workers where a crash affects few runs
+	Isolate                    // starts isolated: nothing else begins on the worker meanwhile
 )
 
-// Doubt returns the degree of suspicion against a task of the group.
-func (g *Group) Doubt(k int) Doubt {
+// SuspicionLevel returns the degree of suspicion against a task of the group.
+func (g *Group) SuspicionLevel(k int) SuspicionLevel {
 	s := g.Suspicion(k)
 	switch {
 	case s == nil || s.Odds < suspectOdds:
-		return NoDoubt
+		return NoSuspicion
 	case s.Odds >= isolateOdds || s.possibleCrashes() >= isolateCrashes:
-		return LookAlone
+		return Isolate
 	}
 	return Suspect
 }
@@ -201,7 +201,7 @@
 // incarnation registers. Started without waiting, the task could crash one worker more than its
 // callers tolerate.
 func (s *State) awaitCrashReport(g *Group, k int, agent string) {
-	if sus := g.Suspicion(k); g.Doubt(k) == LookAlone && sus.possibleCrashes() >= isolateCrashes-1 {
+	if sus := g.Suspicion(k); g.SuspicionLevel(k) == Isolate && sus.possibleCrashes() >= isolateCrashes-1 {
 		sus.Awaits = agent
 	}
 }
@@ -320,7 +320,7 @@
 
 // updateSuspect adds a task to the set of suspects or removes it, as its state requires.
 func (s *State) updateSuspect(g *Group, k int) {
-	if g.Doubt(k) != NoDoubt && !g.Tasks[k].Done && !g.job.Phase.Over() {
+	if g.SuspicionLevel(k) != NoSuspicion && !g.Tasks[k].Done && !g.job.Phase.Over() {
 		s.suspects[g.ref(k)] = struct{}{}
 		return
 	}
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -58,8 +58,8 @@
 			t.Fatalf("given up after %d crashes: %v", i+1, out)
 		}
 	}
-	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != LookAlone || g.Doubt(1) != LookAlone {
-		t.Fatalf("after two crashes the tasks have the doubts %v and %v", g.Doubt(0), g.Doubt(1))
+	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != Isolate || g.SuspicionLevel(1) != Isolate {
+		t.Fatalf("after two crashes the tasks have the doubts %v and %v", g.SuspicionLevel(0), g.SuspicionLevel(1))
 	}
 	out := w.crash("w3", 10, w.startOn("w3", crashTask(0)))
 	if len(out) != 1 || out[0].Task != crashTask(0) || w.Jobs[crashID].Phase != Failed || w.Jobs[crashID].FailureReason == "" {
@@ -161,12 +161,12 @@
 	}
 	w.submit(idA, step(3, 500))
 	g := w.Jobs[crashID].Groups[0]
-	if g.Doubt(0) != NoDoubt || g.Suspicion(0).Crashes != 4 {
-		t.Fatalf("the doubt is %v: %+v", g.Doubt(0), *g.Suspicion(0))
+	if g.SuspicionLevel(0) != NoSuspicion || g.Suspicion(0).Crashes != 4 {
+		t.Fatalf("the doubt is %v: %+v", g.SuspicionLevel(0), *g.Suspicion(0))
 	}
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)), w.startOn("w1", Ref{Job: idA}), w.startOn("w1", Ref{Job: idA, Index: 1}), w.startOn("w1", Ref{Job: idA, Index: 2}))
-	if w.phase(crashID) == Failed || g.Doubt(0) != LookAlone {
-		t.Errorf("the job is %v, its task's doubt is %v: %+v", w.phase(crashID), g.Doubt(0), *g.Suspicion(0))
+	if w.phase(crashID) == Failed || g.SuspicionLevel(0) != Isolate {
+		t.Errorf("the job is %v, its task's doubt is %v: %+v", w.phase(crashID), g.SuspicionLevel(0), *g.Suspicion(0))
 	}
 }
 
@@ -180,7 +180,7 @@
 		t.Fatalf("the task's suspicion is %+v", *s)
 	}
 	if !g.OnlyAlone(0) {
-		t.Errorf("the task's doubt is %v, and it may start beside other tasks", g.Doubt(0))
+		t.Errorf("the task's doubt is %v, and it may start beside other tasks", g.SuspicionLevel(0))
 	}
 }
 
@@ -235,7 +235,7 @@
 		w.submit(begun, step(2, 500))
 		w.crashAt("w1", map[Stop]int64{w.startOn("w1", crashTask(0)): age, w.startOn("w1", Ref{Job: begun}): 50, w.startOn("w1", Ref{Job: begun, Index: 1}): 600})
 	}
-	if w.phase(crashID) == Failed || w.Jobs[crashID].Groups[0].Doubt(0) == LookAlone {
+	if w.phase(crashID) == Failed || w.Jobs[crashID].Groups[0].SuspicionLevel(0) == Isolate {
 		t.Fatalf("the job is %v, with %+v", w.phase(crashID), *w.Jobs[crashID].Groups[0].Suspicion(0))
 	}
 }
@@ -299,8 +299,8 @@
 		run := w.startOn("w1", crashTask(0))
 		w.ApplyEnd("w1", End{Task: run.Task, Run: run.Run, Outcome: OutcomeRejected}, rules, w.next())
 	}
-	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != NoDoubt || w.Jobs[crashID].Phase == Failed {
-		t.Fatalf("the doubt is %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
+	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != NoSuspicion || w.Jobs[crashID].Phase == Failed {
+		t.Fatalf("the doubt is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
 	}
 }
 
@@ -314,8 +314,8 @@
 		w.crash("w1", clearAgeMS+10, w.startOn("w1", crashTask(0)))
 		w.crash("w1", clearAgeMS+10, w.startOn("w1", crashTask(0)))
 	}
-	if g := w.Jobs[crashID].Groups[0]; g.Doubt(0) != NoDoubt || w.Jobs[crashID].Phase != Running {
-		t.Fatalf("the doubt is %v, the job is %v", g.Doubt(0), w.Jobs[crashID].Phase)
+	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != NoSuspicion || w.Jobs[crashID].Phase != Running {
+		t.Fatalf("the doubt is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
 	}
 }
 
@@ -380,15 +380,15 @@
 	}
 	for _, c := range []struct {
 		data []byte
-		want Doubt
+		want SuspicionLevel
 		n    int
-	}{{older, NoDoubt, 0}, {newer, LookAlone, 1}} {
+	}{{older, NoSuspicion, 0}, {newer, Isolate, 1}} {
 		s := NewState()
 		if err := msgpack.Unmarshal(c.data, s); err != nil {
 			t.Fatal(err)
 		}
 		s.Rebuild()
-		if got := s.Jobs[crashID].Groups[0].Doubt(0); got != c.want || len(s.Suspects()) != c.n {
+		if got := s.Jobs[crashID].Groups[0].SuspicionLevel(0); got != c.want || len(s.Suspects()) != c.n {
 			t.Errorf("the doubt is %v with %d suspects, want %v with %d", got, len(s.Suspects()), c.want, c.n)
 		}
 	}
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -197,7 +197,7 @@
 // second worker at the same time.
 func (g *Group) mayCopy(k int) bool {
 	st, t := g.Step(), &g.Tasks[k]
-	return st.Speculative && !st.Gang && !st.Standing && !g.job.Phase.Over() && !t.Done && g.Doubt(k) == NoDoubt &&
+	return st.Speculative && !st.Gang && !st.Standing && !g.job.Phase.Over() && !t.Done && g.SuspicionLevel(k) == NoSuspicion &&
 		t.Placed != nil && !t.Placed.Stopping && t.Copy == nil
 }
 
