--- a/dispatch/suspects.go
+++ b/dispatch/suspects.go
@@ -95,7 +95,7 @@
 	if g.Tasks[k].Done || g.Tasks[k].Placed != nil || g.Step().Gang || g.SuspicionLevel(k) != jobs.Isolate {
 		return false
 	}
-	return r.placeableFor <= isolationWait || g.OnlyAlone(k)
+	return r.placeableFor <= isolationWait || g.MustIsolate(k)
 }
 
 // placeIsolatedSuspects places the tasks that need isolation on workers where nothing started
--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -69,8 +69,8 @@
 // all.
 const isolateCrashes = 4
 
-// OnlyAlone reports whether a task may start only on a worker where nothing else begins.
-func (g *Group) OnlyAlone(k int) bool {
+// MustIsolate reports whether a task may start only on a worker where nothing else begins.
+func (g *Group) MustIsolate(k int) bool {
 	return g.SuspicionLevel(k) == Isolate && g.Suspicion(k).possibleCrashes() >= isolateCrashes
 }
 
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -179,7 +179,7 @@
 	if s := g.Suspicion(0); s.Crashes != 4 || s.Odds < suspectOdds || s.Odds >= isolateOdds {
 		t.Fatalf("the task's suspicion is %+v", *s)
 	}
-	if !g.OnlyAlone(0) {
+	if !g.MustIsolate(0) {
 		t.Errorf("the task's doubt is %v, and it may start beside other tasks", g.SuspicionLevel(0))
 	}
 }
