--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -63,7 +63,7 @@
 
 // possibleCrashes counts the crashes under the task as if every unanswered start had taken effect:
 // the number of starts sent must be bounded, not only of those known to have begun.
-func (s *Suspicion) possibleCrashes() int { return s.Crashes + s.Unsure }
+func (s *Suspicion) possibleCrashes() int { return s.Crashes + s.Unanswered }
 
 // isolateCrashes is the number of possible crashes from which a suspect starts isolated or not at
 // all.
@@ -113,8 +113,8 @@
 	// certainly ended.
 	FromMS int64 `msgpack:"f"`
 	ToMS   int64 `msgpack:"u"`
-	// Unsure is set if its start was not answered, so that it may never have begun.
-	Unsure bool `msgpack:"n,omitempty"`
+	// Unanswered is set if its start was not answered, so that it may never have begun.
+	Unanswered bool `msgpack:"n,omitempty"`
 }
 
 // unsurePercent is the share of unanswered starts on a crashed worker, in percent, that had taken
@@ -126,7 +126,7 @@
 func (r *CrashedRun) crashProbability() int64 {
 	from := survivalAt(r.FromMS)
 	fraction := oddsScale * (from - survivalAt(max(r.ToMS, r.FromMS+minSpanMS))) / from
-	if r.Unsure {
+	if r.Unanswered {
 		fraction = fraction * unsurePercent / 100
 	}
 	return fraction
@@ -134,13 +134,13 @@
 
 // Suspicion is the crash history of a task, or of a gang as a whole.
 type Suspicion struct {
-	// Crashes counts crashed workers on which a run was certainly active, Unsure those on which
+	// Crashes counts crashed workers on which a run was certainly active, Unanswered those on which
 	// its start had not been answered.
-	Crashes int    `msgpack:"c"`
-	Unsure  int    `msgpack:"u,omitempty"`
-	Odds    int64  `msgpack:"o"` // in millionths
-	Run     uint32 `msgpack:"r"` // newest run that was counted: each counts once
-	Agent   string `msgpack:"a"` // agent of the worker that crashed last
+	Crashes    int    `msgpack:"c"`
+	Unanswered int    `msgpack:"u,omitempty"`
+	Odds       int64  `msgpack:"o"` // in millionths
+	Run        uint32 `msgpack:"r"` // newest run that was counted: each counts once
+	Agent      string `msgpack:"a"` // agent of the worker that crashed last
 	// Awaits is the agent whose crash report the task waits for, "" for none: its worker was lost
 	// under the task's last run, and it reports with the next incarnation whether that crashed.
 	Awaits string `msgpack:"w,omitempty"`
@@ -296,9 +296,9 @@
 	sus.Run, sus.Agent = a.run.Run, agent
 	switch {
 	case a.run.FromMS >= clearAgeMS:
-		sus.Crashes, sus.Unsure = 0, 0
-	case a.run.Unsure:
-		sus.Unsure++
+		sus.Crashes, sus.Unanswered = 0, 0
+	case a.run.Unanswered:
+		sus.Unanswered++
 	default:
 		sus.Crashes++
 	}
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -196,7 +196,7 @@
 		c := Crash{Worker: "w1", SpanMS: 10}
 		for i := range 2 {
 			run := w.startOn("w1", crashTask(i))
-			c.Runs = append(c.Runs, CrashedRun{Task: run.Task, Run: run.Run, ToMS: 10, Unsure: n == 4})
+			c.Runs = append(c.Runs, CrashedRun{Task: run.Task, Run: run.Run, ToMS: 10, Unanswered: n == 4})
 		}
 		w.register("w1'", "agent-w1", "life-2")
 		w.ApplyCrash(c, "agent-w1", w.next())
@@ -215,7 +215,7 @@
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)))
 	for range maxCrashes {
 		run := w.startOn("w1", crashTask(0))
-		c := Crash{Worker: "w1", SpanMS: 10, Runs: []CrashedRun{{Task: run.Task, Run: run.Run, ToMS: 10, Unsure: true}}}
+		c := Crash{Worker: "w1", SpanMS: 10, Runs: []CrashedRun{{Task: run.Task, Run: run.Run, ToMS: 10, Unanswered: true}}}
 		w.register("w1'", "agent-w1", "life-2")
 		w.ApplyCrash(c, "agent-w1", w.next())
 		w.register("w1", "agent-w1", "life-3")
--- a/runner/crash.go
+++ b/runner/crash.go
@@ -75,7 +75,7 @@
 	certain := !state.leaving && leaseInForce
 	crash := &jobs.Crash{Worker: state.worker, SpanMS: outage.ended().Sub(outage.answered).Milliseconds()}
 	for _, x := range state.runs {
-		run := jobs.CrashedRun{Task: x.key.task, Run: x.key.run, ToMS: x.age(outage.ended()).Milliseconds(), Unsure: x.uncertain}
+		run := jobs.CrashedRun{Task: x.key.task, Run: x.key.run, ToMS: x.age(outage.ended()).Milliseconds(), Unanswered: x.uncertain}
 		if !x.uncertain {
 			run.FromMS = x.age(outage.answered).Milliseconds()
 		}
