--- a/control/jobs.go
+++ b/control/jobs.go
@@ -216,8 +216,8 @@
 	l := logrus.WithFields(logrus.Fields{"agent": w.Agent, "worker": w.ID, "service": w.Service, "token": done.Worker.Token, "draining": w.Draining})
 	l.Info("control: Registered a worker.")
 	if done.Replaced != "" {
-		voidReplaced.Add(done.Void)
-		l.WithFields(logrus.Fields{"replaced": done.Replaced, "runs": done.Void}).Warn("control: The worker took the place of another incarnation, whose runs are void.")
+		voidReplaced.Add(done.VoidRuns)
+		l.WithFields(logrus.Fields{"replaced": done.Replaced, "runs": done.VoidRuns}).Warn("control: The worker took the place of another incarnation, whose runs are void.")
 	}
 	if w.Crash != nil {
 		workerCrashes.Inc()
--- a/jobs/register.go
+++ b/jobs/register.go
@@ -12,7 +12,7 @@
 	// Replaced is the agent's previous incarnation, "" for none, and Void the number of runs that
 	// ended with it.
 	Replaced string
-	Void     int
+	VoidRuns int
 }
 
 // Outdated returns an error if a registration comes too late: a newer session of the agent has
@@ -38,7 +38,7 @@
 	var done Registered
 	if old := s.byAgent[w.Agent]; old != nil && old.ID != w.ID {
 		// Another incarnation is at the agent's address: the runs of the old one ended with it.
-		done.Replaced, done.Void = old.ID, s.removeWorker(old.ID)
+		done.Replaced, done.VoidRuns = old.ID, s.removeWorker(old.ID)
 	}
 	old := s.Workers[w.ID]
 	if old != nil {
