--- a/control/leader.go
+++ b/control/leader.go
@@ -149,7 +149,7 @@
 
 func (l *leader) expired(m *membership.Member) (membership.Move, bool) {
 	now := time.Now()
-	l.keeper.Note(m.Agent, now) // the member may be in the state before its handler has recorded the lease
+	l.keeper.Add(m.Agent, now) // the member may be in the state before its handler has recorded the lease
 	if !l.keeper.Close(m.Agent, now) {
 		return membership.Move{}, false
 	}
--- a/control/leases.go
+++ b/control/leases.go
@@ -48,7 +48,7 @@
 	if w.LateLease {
 		term = d.r.set.Control.LongestLease.Duration
 	}
-	d.keeper.NoteFor(holderOf(w), now, term)
+	d.keeper.AddWithTerm(holderOf(w), now, term)
 }
 
 func (d *dispatcher) extend(w *jobs.Worker) error {
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -40,13 +40,13 @@
 // slower.
 func WithMargin(term time.Duration) time.Duration { return term + term/clockMargin }
 
-// Note adds a new holder, which may be granted a lease from now on, with a whole term. A holder
+// Add adds a new holder, which may be granted a lease from now on, with a whole term. A holder
 // that was not added is treated as one from before the leadership.
-func (k *Keeper[Holder]) Note(holder Holder, now time.Time) { k.NoteFor(holder, now, k.term) }
+func (k *Keeper[Holder]) Add(holder Holder, now time.Time) { k.AddWithTerm(holder, now, k.term) }
 
-// NoteFor is like Note for a holder that may have been granted another term elsewhere until now. The
+// AddWithTerm is like Note for a holder that may have been granted another term elsewhere until now. The
 // longer of the two terms counts.
-func (k *Keeper[Holder]) NoteFor(holder Holder, now time.Time, term time.Duration) {
+func (k *Keeper[Holder]) AddWithTerm(holder Holder, now time.Time, term time.Duration) {
 	if k.leases[holder] == nil {
 		k.leases[holder] = &leaseEntry{expires: now.Add(WithMargin(max(term, k.term))), granted: now}
 	}
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -48,20 +48,20 @@
 func TestNewHolderHasAWholeTerm(t *testing.T) {
 	k := NewKeeper[string](testTerm, epoch)
 	now := epoch.Add(10 * testTerm)
-	k.Note("a", now)
-	k.Note("a", now.Add(testTerm)) // known already
+	k.Add("a", now)
+	k.Add("a", now.Add(testTerm)) // known already
 	if k.Close("a", now.Add(testTerm)) {
 		t.Fatal("the lease was ended while it may have been granted")
 	}
 	if !k.Close("a", now.Add(testTerm+testTerm/clockMargin)) {
 		t.Fatal("the lease is never ended")
 	}
-	k.Note("a", now.Add(2*testTerm))
+	k.Add("a", now.Add(2*testTerm))
 	if k.Grant("a", now.Add(2*testTerm)) {
 		t.Error("a holder that is noted again is granted a lease while the end of its lease is being committed")
 	}
 	k.Retain(func(string) bool { return false })
-	k.Note("a", now.Add(2*testTerm))
+	k.Add("a", now.Add(2*testTerm))
 	if !k.Grant("a", now.Add(2*testTerm)) {
 		t.Error("a holder that was dropped is still closed")
 	}
