--- a/control/leases.go
+++ b/control/leases.go
@@ -114,7 +114,7 @@
 		}
 		slices.SortFunc(l.workers, func(a, b holder) int { return strings.Compare(a.Worker, b.Worker) })
 		for _, x := range l.workers {
-			l.ungranted = append(l.ungranted, d.keeper.Ungranted(x, now))
+			l.ungranted = append(l.ungranted, d.keeper.SinceGrant(x, now))
 		}
 	})
 	return l
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -95,9 +95,9 @@
 // Age returns how long the leader has led.
 func (k *Keeper[Holder]) Age(now time.Time) time.Duration { return now.Sub(k.since) }
 
-// Ungranted returns the time since this leader last granted a holder's lease or added the holder,
+// SinceGrant returns the time since this leader last granted a holder's lease or added the holder,
 // or, if it never did, how long it has led.
-func (k *Keeper[Holder]) Ungranted(holder Holder, now time.Time) time.Duration {
+func (k *Keeper[Holder]) SinceGrant(holder Holder, now time.Time) time.Duration {
 	h := k.leases[holder]
 	if h == nil || h.granted.IsZero() {
 		return k.Age(now)
