--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -224,7 +224,7 @@
 	if c := after.state.DataCentres.Of(testDataCentre); c.Phase != datacentre.Cordoned || c.Revision != 2 || c.SinceMS != 7 || len(c.Taken) != 1 {
 		t.Errorf("after the snapshot it is %+v", c)
 	}
-	if !after.state.Members.Members["a"].Cordoned || after.state.capacity("a").Open {
+	if !after.state.Members.Members["a"].Cordoned || after.state.capacity("a").Schedulable {
 		t.Error("the member is in service after the snapshot")
 	}
 	var fields map[string]any
--- a/control/schedule.go
+++ b/control/schedule.go
@@ -143,7 +143,7 @@
 
 func (l *leader) worker(s *State, m *membership.Member) placement.Worker {
 	capacity := s.capacity(m.Agent)
-	w := placement.Worker{Agent: m.Agent, Boot: m.Boot, DataCentre: m.DataCentre, Rack: m.Rack, Open: capacity.Open, Evacuate: m.Evacuate, Drained: s.DataCentres.Draining(m.DataCentre),
+	w := placement.Worker{Agent: m.Agent, Boot: m.Boot, DataCentre: m.DataCentre, Rack: m.Rack, Open: capacity.Schedulable, Evacuate: m.Evacuate, Drained: s.DataCentres.Draining(m.DataCentre),
 		Total: capacity.Total, Free: capacity.Total.Sub(s.Tasks.Reserved(m.Agent)), Preset: market.DefaultPreset}
 	if v := s.Market.Markets[m.Market]; v != nil {
 		w.Preset = v.Preset()
--- a/control/state.go
+++ b/control/state.go
@@ -149,10 +149,10 @@
 	return resource.Vector{MilliCPU: svc.MilliCPU, MemoryMB: svc.MemoryMB}
 }
 
-func (s *State) capacity(agent string) lease.Room {
+func (s *State) capacity(agent string) lease.AgentCapacity {
 	m := s.Members.Members[agent]
 	if m == nil {
-		return lease.Room{}
+		return lease.AgentCapacity{}
 	}
 	return s.Members.Room(agent, s.serviceReserve(m))
 }
@@ -163,7 +163,7 @@
 }
 
 func (s *State) limits() lease.Limits {
-	return lease.Limits{Room: s.capacity, Quota: s.quota}
+	return lease.Limits{Capacity: s.capacity, Quota: s.quota}
 }
 
 // Machine guards the state: the quorum's node applies commands, all other code only reads.
--- a/lease/attempt.go
+++ b/lease/attempt.go
@@ -9,17 +9,17 @@
 	"github.com/waxwinghaven/waxwinghaven/resource"
 )
 
-// Room is the capacity of an agent, as membership knows it when a plan is applied.
-type Room struct {
-	Boot  string          // of the worker that the agent has now
-	Total resource.Vector // without the part that its service reserves
-	Open  bool            // neither down, leaving, quarantined nor in a data centre out of service
+// AgentCapacity is the capacity of an agent, as membership knows it when a plan is applied.
+type AgentCapacity struct {
+	Boot        string          // of the worker that the agent has now
+	Total       resource.Vector // without the part that its service reserves
+	Schedulable bool            // neither down, leaving, quarantined nor in a data centre out of service
 }
 
 // Limits looks up capacities and quotas while a plan is applied.
 type Limits struct {
-	Room  func(agent string) Room
-	Quota func(team string) resource.Vector // zero means unbounded
+	Capacity func(agent string) AgentCapacity
+	Quota    func(team string) resource.Vector // zero means unbounded
 }
 
 // ApplyPlan applies the parts of a plan that are still valid. The plan was made optimistically, from
@@ -48,8 +48,8 @@
 
 func (s *State) applyPlacement(p Placement, l Limits, now int64, r *PlanResult) {
 	t := s.Tasks[p.Task]
-	room := l.Room(p.Agent)
-	if t == nil || t.Phase != Waiting || t.Attempt+1 != p.Attempt || !room.Open || room.Boot != p.Boot {
+	room := l.Capacity(p.Agent)
+	if t == nil || t.Phase != Waiting || t.Attempt+1 != p.Attempt || !room.Schedulable || room.Boot != p.Boot {
 		r.Stale++
 		return
 	}
--- a/lease/state_test.go
+++ b/lease/state_test.go
@@ -11,8 +11,8 @@
 // returns the task.
 func placeAndRestart(t *testing.T, s *State, id string, age int64, now *int64) *Task {
 	t.Helper()
-	limits := Limits{Room: func(string) Room {
-		return Room{Boot: "boot", Total: resource.Vector{MilliCPU: 1000, MemoryMB: 1000}, Open: true}
+	limits := Limits{Capacity: func(string) AgentCapacity {
+		return AgentCapacity{Boot: "boot", Total: resource.Vector{MilliCPU: 1000, MemoryMB: 1000}, Schedulable: true}
 	}, Quota: func(string) resource.Vector { return resource.Vector{} }}
 	p := Plan{Placements: []Placement{{Task: id, Agent: "a", Boot: "boot", Attempt: s.Tasks[id].Attempt + 1}}}
 	if r := s.ApplyPlan(p, limits, *now); r.Placed != 1 {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -160,14 +160,14 @@
 	}
 }
 
-// Room returns what a member can offer to tasks: its boot, its capacity less what is reserved,
-// and whether it accepts tasks. An unknown member gives the zero Room.
-func (s *State) Room(agent string, reserved resource.Vector) lease.Room {
+// AgentCapacity returns what a member can offer to tasks: its boot, its capacity less what is reserved,
+// and whether it accepts tasks. An unknown member gives the zero AgentCapacity.
+func (s *State) Room(agent string, reserved resource.Vector) lease.AgentCapacity {
 	m := s.Members[agent]
 	if m == nil {
-		return lease.Room{}
+		return lease.AgentCapacity{}
 	}
-	return lease.Room{Boot: m.Boot, Total: m.Capacity.Sub(reserved), Open: m.Phase == Up && !m.Cordoned}
+	return lease.AgentCapacity{Boot: m.Boot, Total: m.Capacity.Sub(reserved), Schedulable: m.Phase == Up && !m.Cordoned}
 }
 
 // Since returns the members that changed after a log index, ordered by agent.
--- a/score/world.go
+++ b/score/world.go
@@ -317,7 +317,7 @@
 	for pass := range passesPerStep {
 		plan := w.policy.Plan(w.snapshot(uint64(pass)))
 		w.throttle(plan)
-		w.tasks.ApplyPlan(plan.Plan, lease.Limits{Room: w.room, Quota: noQuota}, w.now)
+		w.tasks.ApplyPlan(plan.Plan, lease.Limits{Capacity: w.room, Quota: noQuota}, w.now)
 		w.recordUrgentStarts(pass)
 		if len(w.pending) == 0 {
 			return
@@ -374,7 +374,7 @@
 
 func (w *world) reserved() resource.Vector { return resource.Vector{MilliCPU: w.s.reservedCPU} }
 
-func (w *world) room(agent string) lease.Room { return w.members.Room(agent, w.reserved()) }
+func (w *world) room(agent string) lease.AgentCapacity { return w.members.Room(agent, w.reserved()) }
 
 func (w *world) snapshot(pass uint64) *placement.Snapshot {
 	s := &placement.Snapshot{Now: w.now, Waiting: w.tasks.WaitingHeads(128), Quota: noQuota, TeamUse: w.tasks.TeamUse,
@@ -390,7 +390,7 @@
 
 func (w *world) view(s *placement.Snapshot, b *simWorker) placement.Worker {
 	room := w.room(b.name)
-	v := placement.Worker{Agent: b.name, Boot: room.Boot, Open: room.Open, Total: room.Total, Free: room.Total.Sub(w.tasks.Reserved(b.name)),
+	v := placement.Worker{Agent: b.name, Boot: room.Boot, Open: room.Schedulable, Total: room.Total, Free: room.Total.Sub(w.tasks.Reserved(b.name)),
 		Service: "m/s", Preset: w.s.preset(w.now), Load: b.latest.load, Slowdown: b.latest.slowdown, Late: b.lateReports, Pressure: -1}
 	if w.oracle {
 		v.Load, v.Slowdown, v.Late = b.load, b.slowdown, 9
