--- a/control/workers.go
+++ b/control/workers.go
@@ -41,7 +41,7 @@
 	defer d.mu.Unlock()
 	var out map[string]bool
 	if !d.r.without.Health {
-		out = d.health.Shunned(workers, now)
+		out = d.health.Avoided(workers, now)
 	}
 	if out == nil {
 		out = make(map[string]bool)
--- a/dispatch/crashing_test.go
+++ b/dispatch/crashing_test.go
@@ -44,7 +44,7 @@
 	p := &crashSimulation{harness: newHarness(t, workers), rng: rand.New(rand.NewSource(seed)), crashing: make(map[jobs.Ref]bool), durationMS: make(map[string]int64),
 		startedAt: make(map[jobs.Ref]int64), restartAt: make(map[string]int64), crashReports: make(map[string]jobs.Crash),
 		waitingSince: make(map[*jobs.Group]int64), crashes: make(map[jobs.Ref]int), lateStarts: make(map[jobs.Ref]int)}
-	p.in.Shunned = make(map[string]bool)
+	p.in.Avoided = make(map[string]bool)
 	p.in.Waited = func(g *jobs.Group) time.Duration {
 		return time.Duration(p.in.NowMS-p.waitingSince[g]) * time.Millisecond
 	}
@@ -104,7 +104,7 @@
 	p.pass()
 	for _, worker := range slices.Sorted(maps.Keys(p.Workers)) {
 		for _, ref := range p.RunsOn(worker) {
-			if _, ok := p.startedAt[ref]; ok || p.in.Shunned[worker] {
+			if _, ok := p.startedAt[ref]; ok || p.in.Avoided[worker] {
 				continue
 			}
 			p.startedAt[ref] = p.in.NowMS + int64(p.rng.Intn(4))*simulationStepMS
@@ -115,7 +115,7 @@
 // work ends finished tasks and crashes the workers of crashing ones.
 func (p *crashSimulation) work() {
 	for _, worker := range slices.Sorted(maps.Keys(p.Workers)) {
-		if p.in.Shunned[worker] {
+		if p.in.Avoided[worker] {
 			continue
 		}
 		for _, ref := range p.RunsOn(worker) {
@@ -128,7 +128,7 @@
 				p.ApplyEnd(worker, jobs.End{Task: ref, Run: p.RunOn(ref, worker).Run, Outcome: jobs.OutcomeDone}, rules, p.index)
 				delete(p.startedAt, ref)
 			}
-			if p.in.Shunned[worker] {
+			if p.in.Avoided[worker] {
 				break
 			}
 		}
@@ -146,7 +146,7 @@
 			p.crashes[ref]++
 		}
 	}
-	p.crashReports[worker], p.restartAt[worker], p.in.Shunned[worker] = c, p.in.NowMS+restartMS, true
+	p.crashReports[worker], p.restartAt[worker], p.in.Avoided[worker] = c, p.in.NowMS+restartMS, true
 }
 
 func (p *crashSimulation) restartWorker(worker string) {
--- a/dispatch/evacuate.go
+++ b/dispatch/evacuate.go
@@ -16,7 +16,7 @@
 }
 
 // Takes reports whether new tasks may start on a worker.
-func (in *Input) Takes(w *jobs.Worker) bool { return !in.closed(w) && !in.Shunned[w.ID] }
+func (in *Input) Takes(w *jobs.Worker) bool { return !in.closed(w) && !in.Avoided[w.ID] }
 
 // mustEvacuate reports whether standing tasks are to move off a worker: it is about to end, by
 // itself or for maintenance of its machine, or an operator drains its data centre.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -102,9 +102,9 @@
 	return math.Max(c.slowness, 0)
 }
 
-// Shunned returns the workers to be avoided now. It returns none if they are more than
+// Avoided returns the workers to be avoided now. It returns none if they are more than
 // maxAvoidedShare of all workers.
-func (h *Health) Shunned(all int, now time.Time) map[string]bool {
+func (h *Health) Avoided(all int, now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for id, c := range h.workers {
 		if now.Before(c.avoidedUntil) {
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -15,16 +15,16 @@
 		h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
 		h.NoteEnd("good", jobs.OutcomeDone, 100, 100, now)
 	}
-	if s := h.Shunned(5, now); !s["bad"] || s["good"] {
+	if s := h.Avoided(5, now); !s["bad"] || s["good"] {
 		t.Fatalf("avoided workers: %v", s)
 	}
-	if s := h.Shunned(5, now.Add(firstPause)); s["bad"] {
+	if s := h.Avoided(5, now.Add(firstPause)); s["bad"] {
 		t.Error("the worker is not tried again after the pause")
 	}
 	now = now.Add(firstPause)
 	h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
 	h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
-	if s := h.Shunned(5, now.Add(firstPause)); !s["bad"] {
+	if s := h.Avoided(5, now.Add(firstPause)); !s["bad"] {
 		t.Error("the second pause is no longer than the first")
 	}
 }
@@ -39,7 +39,7 @@
 			o = jobs.OutcomeFailed
 		}
 		h.NoteEnd("w", o, 100, 100, now)
-		if len(h.Shunned(5, now)) > 0 {
+		if len(h.Avoided(5, now)) > 0 {
 			t.Fatalf("avoided after run %d", i)
 		}
 	}
@@ -48,7 +48,7 @@
 			h.NoteEnd(w, jobs.OutcomeFailed, 0, 0, now)
 		}
 	}
-	if s := h.Shunned(5, now); len(s) > 0 {
+	if s := h.Avoided(5, now); len(s) > 0 {
 		t.Errorf("%d of 5 workers are avoided", len(s))
 	}
 	h.NoteEnd("lost", jobs.OutcomeLost, 0, 0, now)
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -54,9 +54,9 @@
 	// NowMS is the current time, which due times of occurrences are compared with, in
 	// milliseconds since 1970.
 	NowMS int64
-	// Shunned workers get no new tasks: they rejected some recently, or fail far more often than
+	// Avoided workers get no new tasks: they rejected some recently, or fail far more often than
 	// their peers.
-	Shunned map[string]bool
+	Avoided map[string]bool
 	// Leaving workers get no new tasks either: their machines are about to go down.
 	Leaving map[string]bool
 	// DataCentres tells which data centres are out of service, nil for none.
