--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -123,7 +123,7 @@
 // at the start of a day, and each would otherwise count the capacity that the others are about to
 // hold.
 func admitStanding(in Input, q *queues.Queue, spec *jobs.Spec) Verdict {
-	total, held := int64(0), in.Promised[q.Service]
+	total, held := int64(0), in.Reserved[q.Service]
 	for id, w := range in.Jobs.Workers {
 		if w.Service == q.Service && !in.closed(w) {
 			total += w.Capacity.MilliCPU
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -61,9 +61,9 @@
 	Leaving map[string]bool
 	// DataCentres tells which data centres are out of service, nil for none.
 	DataCentres *datacentre.State
-	// Promised is the CPU reserved, by service, for standing tasks of jobs that are being
+	// Reserved is the CPU reserved, by service, for standing tasks of jobs that are being
 	// accepted, in thousandths of a processor.
-	Promised map[string]int64
+	Reserved map[string]int64
 	// Waited returns how long a group has had tasks that are ready to start. Nil means zero.
 	Waited func(*jobs.Group) time.Duration
 	// Open returns for how long, without interruption, a service has had a worker that accepts
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -378,11 +378,11 @@
 		t.Error("the second job is accepted too")
 	}
 	small := &jobs.Spec{Steps: []jobs.Step{serving(1, 4000, "watch")}}
-	s.in.Promised = map[string]int64{"vault": 4000}
+	s.in.Reserved = map[string]int64{"vault": 4000}
 	if v := Admit(s.in, q, small); !v.Refuse {
 		t.Error("CPU reserved for a submission in progress is given to another job")
 	}
-	s.in.Promised = nil
+	s.in.Reserved = nil
 	if v := Admit(s.in, q, small); v.Refuse {
 		t.Errorf("a job that fits is refused: %s", v.Reason())
 	}
