--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -171,7 +171,7 @@
 		in.Copies = d.copiesDue(begun)
 		in.Regroup = d.regroupDue(begun)
 		in.Slowness = d.slowness
-		in.Waited = func(g *jobs.Group) time.Duration { return begun.Sub(waiting[g.Key()]) }
+		in.WaitTime = func(g *jobs.Group) time.Duration { return begun.Sub(waiting[g.Key()]) }
 		open := d.trackOpen(&in, len(waiting) > 0, begun)
 		in.Open = func(service string) time.Duration {
 			if since, is := open[service]; is {
--- a/dispatch/crashing_test.go
+++ b/dispatch/crashing_test.go
@@ -45,7 +45,7 @@
 		startedAt: make(map[jobs.Ref]int64), restartAt: make(map[string]int64), crashReports: make(map[string]jobs.Crash),
 		waitingSince: make(map[*jobs.Group]int64), crashes: make(map[jobs.Ref]int), lateStarts: make(map[jobs.Ref]int)}
 	p.in.Avoided = make(map[string]bool)
-	p.in.Waited = func(g *jobs.Group) time.Duration {
+	p.in.WaitTime = func(g *jobs.Group) time.Duration {
 		return time.Duration(p.in.NowMS-p.waitingSince[g]) * time.Millisecond
 	}
 	p.in.Open = func(string) time.Duration { return time.Duration(p.in.NowMS-p.workersUpSince) * time.Millisecond }
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -31,8 +31,8 @@
 			continue
 		}
 		r := request{group: g, queue: q}
-		if p.in.Waited != nil {
-			r.waited = p.in.Waited(g)
+		if p.in.WaitTime != nil {
+			r.waited = p.in.WaitTime(g)
 		}
 		if r.placeableFor = r.waited; p.in.Open != nil {
 			r.placeableFor = min(r.waited, p.in.Open(q.Service))
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -64,8 +64,8 @@
 	// Reserved is the CPU reserved, by service, for standing tasks of jobs that are being
 	// accepted, in thousandths of a processor.
 	Reserved map[string]int64
-	// Waited returns how long a group has had tasks that are ready to start. Nil means zero.
-	Waited func(*jobs.Group) time.Duration
+	// WaitTime returns how long a group has had tasks that are ready to start. Nil means zero.
+	WaitTime func(*jobs.Group) time.Duration
 	// Open returns for how long, without interruption, a service has had a worker that accepts
 	// tasks. Nil means always.
 	Open func(service string) time.Duration
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -221,7 +221,7 @@
 	if got := s.pass(); got[heavy] != 0 {
 		t.Fatal("it was started without waiting")
 	}
-	s.in.Waited = func(*jobs.Group) time.Duration { return 2 * lowUtilizationWait }
+	s.in.WaitTime = func(*jobs.Group) time.Duration { return 2 * lowUtilizationWait }
 	if got := s.pass(); got[heavy] != 1 {
 		t.Fatalf("%d tasks were started after the wait", got[heavy])
 	}
@@ -239,7 +239,7 @@
 		waited time.Duration
 		want   int
 	}{{2 * lowUtilizationWait, 0}, {starvationWait + time.Second, 1}} {
-		s.in.Waited = func(*jobs.Group) time.Duration { return c.waited }
+		s.in.WaitTime = func(*jobs.Group) time.Duration { return c.waited }
 		if got := s.pass()[heavy]; got != c.want {
 			t.Errorf("after %v %d tasks were started, want %d", c.waited, got, c.want)
 		}
@@ -410,7 +410,7 @@
 	if got := s.pass()[waits]; got != 0 {
 		t.Fatalf("%d tasks were placed without waiting although no rack has capacity for all", got)
 	}
-	s.in.Waited = func(*jobs.Group) time.Duration { return 2 * rackWait }
+	s.in.WaitTime = func(*jobs.Group) time.Duration { return 2 * rackWait }
 	if got := s.pass()[waits]; got != 2 {
 		t.Fatalf("%d tasks were placed after the wait, there is capacity for 2", got)
 	}
--- a/dispatch/suspects_test.go
+++ b/dispatch/suspects_test.go
@@ -181,12 +181,12 @@
 	other := s.submit(2, "/titles/", s.in.NowMS, task(1, 500, 300))
 	s.place(other, slices.Sorted(maps.Keys(s.Workers))[0], 0)
 	s.in.NowMS += 100
-	s.in.Waited = func(*jobs.Group) time.Duration { return isolationWait - 1 }
+	s.in.WaitTime = func(*jobs.Group) time.Duration { return isolationWait - 1 }
 	s.pass()
 	if len(s.runsByWorker(job)) != 0 {
 		t.Fatal("the suspect was placed right after another task's start")
 	}
-	s.in.Waited = func(*jobs.Group) time.Duration { return isolationWait + 1 }
+	s.in.WaitTime = func(*jobs.Group) time.Duration { return isolationWait + 1 }
 	s.pass()
 	if len(s.runsByWorker(job)) != 1 {
 		t.Fatal("the suspect was not placed after its wait")
@@ -255,7 +255,7 @@
 	s.ApplyLost([]jobs.Loss{{Worker: "w0", Registered: s.Workers["w0"].Registered}})
 	s.in.NowMS = 10_000
 	waited := time.Second
-	s.in.Waited = func(*jobs.Group) time.Duration { return waited }
+	s.in.WaitTime = func(*jobs.Group) time.Duration { return waited }
 	s.pass()
 	if s.Jobs[job].Groups[0].Tasks[0].Placed != nil {
 		t.Fatal("the task was started before the lost worker's agent reported whether it crashed")
