--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -173,7 +173,7 @@
 		in.Slowness = d.slowness
 		in.WaitTime = func(g *jobs.Group) time.Duration { return begun.Sub(waiting[g.Key()]) }
 		open := d.trackOpen(&in, len(waiting) > 0, begun)
-		in.Open = func(service string) time.Duration {
+		in.WorkersUpFor = func(service string) time.Duration {
 			if since, is := open[service]; is {
 				return begun.Sub(since)
 			}
--- a/dispatch/crashing_test.go
+++ b/dispatch/crashing_test.go
@@ -48,7 +48,7 @@
 	p.in.WaitTime = func(g *jobs.Group) time.Duration {
 		return time.Duration(p.in.NowMS-p.waitingSince[g]) * time.Millisecond
 	}
-	p.in.Open = func(string) time.Duration { return time.Duration(p.in.NowMS-p.workersUpSince) * time.Millisecond }
+	p.in.WorkersUpFor = func(string) time.Duration { return time.Duration(p.in.NowMS-p.workersUpSince) * time.Millisecond }
 	for n := range backlog {
 		st := task(1+p.rng.Intn(4), 300+p.rng.Int63n(1200), 300)
 		id := p.submit(n, "/titles/", 0, st)
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -34,8 +34,8 @@
 		if p.in.WaitTime != nil {
 			r.waited = p.in.WaitTime(g)
 		}
-		if r.placeableFor = r.waited; p.in.Open != nil {
-			r.placeableFor = min(r.waited, p.in.Open(q.Service))
+		if r.placeableFor = r.waited; p.in.WorkersUpFor != nil {
+			r.placeableFor = min(r.waited, p.in.WorkersUpFor(q.Service))
 		}
 		p.classify(&r)
 		out = append(out, r)
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -66,9 +66,9 @@
 	Reserved map[string]int64
 	// WaitTime returns how long a group has had tasks that are ready to start. Nil means zero.
 	WaitTime func(*jobs.Group) time.Duration
-	// Open returns for how long, without interruption, a service has had a worker that accepts
+	// WorkersUpFor returns for how long, without interruption, a service has had a worker that accepts
 	// tasks. Nil means always.
-	Open func(service string) time.Duration
+	WorkersUpFor func(service string) time.Duration
 	// Costs estimates how filling tasks interfere with serving ones, nil for not at all.
 	Costs Costs
 	// Stalled are filling runs that were throttled to a standstill.
