--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -233,7 +233,7 @@
 // input returns the input of a dispatch decision.
 func (d *dispatcher) input(s *State) dispatch.Input {
 	return dispatch.Input{Jobs: s.Jobs, Config: &s.Queues.Config, DataCentres: s.DataCentres, NowMS: d.nowMS(), Costs: d.costs.at(time.Now()), Estimates: d.durationModel.estimates(),
-		Ticket: d.advice.ticket, Leaving: s.Waves.Leaving(), Reserved: d.reservedCPU(), Without: d.r.without}
+		Ticket: d.advice.ticket, Leaving: s.Waves.Leaving(), Reserved: d.reservedCPU(), Disabled: d.r.without}
 }
 
 func (d *dispatcher) reservedCPU() map[string]int64 {
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -58,7 +58,7 @@
 	if in.outOfService(q.Service) {
 		return Verdict{Refuse: true, OutOfService: true, After: outOfServiceRetryAfter}
 	}
-	if in.Without.Admission {
+	if in.Disabled.Admission {
 		return Verdict{}
 	}
 	if standing(spec) {
--- a/dispatch/copies.go
+++ b/dispatch/copies.go
@@ -33,7 +33,7 @@
 
 // overrunning returns the tasks whose only run takes so long that a copy should start.
 func (p *planner) overrunning() []jobs.Ref {
-	if !p.in.Copies || p.in.Estimates == nil || p.in.Without.Copies {
+	if !p.in.Copies || p.in.Estimates == nil || p.in.Disabled.Copies {
 		return nil
 	}
 	stuck := make(map[jobs.Stop]bool, len(p.in.Stuck))
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -40,7 +40,7 @@
 // filling tasks divided by the headroom that may be taken, for the worst affected serving image.
 // Above 1, that image's tail latency would exceed its target. It is 0 where nothing serves.
 func (p *planner) interference(c *candidate, st *jobs.Step) float64 {
-	if p.in.Costs == nil || p.in.Without.Disturbance {
+	if p.in.Costs == nil || p.in.Disabled.Disturbance {
 		return 0
 	}
 	worst := 0.0
@@ -68,7 +68,7 @@
 // tried beside tasks at peak load.
 func (p *planner) headroomDemand(c *candidate, serving string, st *jobs.Step) (demand, bound float64) {
 	need := processors(int(st.Need.MilliCPU))
-	if c.fillers[st.Image] == 0 && !p.in.Without.Tries {
+	if c.fillers[st.Image] == 0 && !p.in.Disabled.Tries {
 		if most, unseen := p.in.Costs.Unseen(serving, st.Image); unseen {
 			return need * most, p.in.Costs.Now(c.worker.ID, serving)
 		}
@@ -126,7 +126,7 @@
 	switch {
 	case suspicion != nil:
 		cost += p.suspicionCost(c, suspicion)
-	case !st.Fills && len(c.serving) > 0 && !p.in.Without.Together:
+	case !st.Fills && len(c.serving) > 0 && !p.in.Disabled.Together:
 		cost -= colocationGain * p.similarity(c, st)
 	}
 	return cost
@@ -135,7 +135,7 @@
 // similarity returns how far the same images interfere with the serving tasks on a worker and
 // with a task of a step: 1 for a task without a latency target.
 func (p *planner) similarity(c *candidate, st *jobs.Step) float64 {
-	if p.in.Costs == nil || st.TargetMS == 0 || p.in.Without.Likes {
+	if p.in.Costs == nil || st.TargetMS == 0 || p.in.Disabled.Likes {
 		return 1
 	}
 	return p.similarityTo(c, st.Image)
@@ -153,7 +153,7 @@
 }
 
 func (p *planner) slowness(worker string) float64 {
-	if p.in.Slowness == nil || p.in.Without.Slowness {
+	if p.in.Slowness == nil || p.in.Disabled.Slowness {
 		return 0
 	}
 	return p.in.Slowness(worker)
--- a/dispatch/order.go
+++ b/dispatch/order.go
@@ -53,7 +53,7 @@
 		return
 	}
 	f := p.in.Estimates.forecast(j, r.queue, r.group.Occurrence())
-	if !p.in.Without.Outlook {
+	if !p.in.Disabled.Outlook {
 		r.class = f.class(age(j, r.group.DueAt(), p.in.NowMS))
 	}
 	r.due = max(j.AcceptedAt, r.group.DueAt()) + f.deadline.Milliseconds()
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -88,8 +88,8 @@
 	// Slowness returns how much longer than expected a worker's runs take, as a natural
 	// logarithm. Nil means zero.
 	Slowness func(worker string) float64
-	// Without lists the mechanisms that are switched off.
-	Without ablation.Set
+	// Disabled lists the mechanisms that are switched off.
+	Disabled ablation.Set
 }
 
 // Costs estimates how filling tasks interfere with serving ones. Tasks are identified by the
@@ -156,10 +156,10 @@
 	p.collectCandidates()
 	p.suspects = in.Jobs.Suspects()
 	p.markSuspects()
-	if !in.Without.Leaving {
+	if !in.Disabled.Leaving {
 		p.evacuate()
 	}
-	if !in.Without.Moves {
+	if !in.Disabled.Moves {
 		p.moveStalled()
 	}
 	p.regroup()
@@ -295,7 +295,7 @@
 	switch {
 	case st.Gang:
 		return len(r.group.Tasks)
-	case !st.Fills || running || p.in.Without.Whole || p.underused[r.queue.Service] || r.class == Started || r.waited > starvationWait:
+	case !st.Fills || running || p.in.Disabled.Whole || p.underused[r.queue.Service] || r.class == Started || r.waited > starvationWait:
 		return 1
 	}
 	return int(math.Ceil(minStartShare * float64(r.group.Waiting())))
--- a/dispatch/regroup.go
+++ b/dispatch/regroup.go
@@ -26,7 +26,7 @@
 
 // regroup moves serving tasks to workers with similar tasks, at most one from each worker.
 func (p *planner) regroup() {
-	if !p.in.Regroup || p.in.Costs == nil || p.in.Without.Regroup {
+	if !p.in.Regroup || p.in.Costs == nil || p.in.Disabled.Regroup {
 		return
 	}
 	served, missing := p.servedTasks()
