--- a/control/costs.go
+++ b/control/costs.go
@@ -194,8 +194,8 @@
 	return c.pressures.Of(serving, filling).Mean
 }
 
-// Bound implements dispatch.Costs.
-func (c costsAt) Bound(worker, serving string) float64 {
+// HeadroomBudget implements dispatch.Costs.
+func (c costsAt) HeadroomBudget(worker, serving string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := boundKey{worker, serving}
--- a/control/costs_test.go
+++ b/control/costs_test.go
@@ -75,27 +75,27 @@
 		own := 2.8 + 1.1*math.Sin(2*math.Pi*float64(i)/28)
 		report(c, "w1", now, Reading{Image: "watch", Job: "a", AtMS: int64(i) * 500, Headroom: own, Own: own, Bears: 2.5})
 	}
-	usual := c.at(now).Bound("w2", "watch")
+	usual := c.at(now).HeadroomBudget("w2", "watch")
 	if usual < 0.7 || usual > 1.3 {
 		t.Errorf("the usual low leaves %.2f", usual)
 	}
-	if got := c.at(now).Bound("w1", "watch"); got != usual {
+	if got := c.at(now).HeadroomBudget("w1", "watch"); got != usual {
 		t.Errorf("an agent that reports 2.5 raises it to %.2f", got)
 	}
 	report(c, "w1", now, Reading{Image: "watch", Job: "b", Headroom: 1.4, Own: 1.4, Bears: 0.3})
-	if got := c.at(now).Bound("w1", "watch"); got != 0.3 {
+	if got := c.at(now).HeadroomBudget("w1", "watch"); got != 0.3 {
 		t.Errorf("beside a job with a spare headroom of 0.3 it is %.2f", got)
 	}
-	if got := c.at(now.Add(groupTTL+time.Second)).Bound("w1", "watch"); got < 0.7 {
+	if got := c.at(now.Add(groupTTL+time.Second)).HeadroomBudget("w1", "watch"); got < 0.7 {
 		t.Errorf("an old report still counts: %.2f", got)
 	}
 	report(c, "w3", now, Reading{Image: "watch", Job: "c", Headroom: 1.4, Own: 1.4, Bears: 0.2})
 	c.expire(now.Add(groupTTL / 2))
-	if got := c.at(now).Bound("w3", "watch"); got != 0.2 {
+	if got := c.at(now).HeadroomBudget("w3", "watch"); got != 0.2 {
 		t.Errorf("a recent report was dropped: %.2f", got)
 	}
 	c.expire(now.Add(groupTTL + time.Second))
-	if got := c.at(now).Bound("w3", "watch"); got < 0.7 || len(c.groups) > 0 {
+	if got := c.at(now).HeadroomBudget("w3", "watch"); got < 0.7 || len(c.groups) > 0 {
 		t.Errorf("a worker that is gone still counts: %.2f, %d workers are kept", got, len(c.groups))
 	}
 }
--- a/control/headroom_test.go
+++ b/control/headroom_test.go
@@ -29,14 +29,14 @@
 	turns := 2 * math.Pi * 119 / 28
 	reportSwing(c, "w1", toRise-turns)
 	now := reportSwing(c, "w2", toFall-turns)
-	before, after := c.at(now).Bound("w1", "watch"), c.at(now).Bound("w2", "watch")
+	before, after := c.at(now).HeadroomBudget("w1", "watch"), c.at(now).HeadroomBudget("w2", "watch")
 	if before > 0.9 || after < 1.6 {
 		t.Errorf("%.2f may be taken before the load rises, %.2f before it falls", before, after)
 	}
 	blind := newCosts(ablation.Set{Foresight: true})
 	reportSwing(blind, "w1", toRise-turns)
 	reportSwing(blind, "w2", toFall-turns)
-	if a, b := blind.at(now).Bound("w1", "watch"), blind.at(now).Bound("w2", "watch"); math.Abs(a-b) > 0.1 {
+	if a, b := blind.at(now).HeadroomBudget("w1", "watch"), blind.at(now).HeadroomBudget("w2", "watch"); math.Abs(a-b) > 0.1 {
 		t.Errorf("without the forecast they differ by %.2f and %.2f", a, b)
 	}
 }
@@ -46,12 +46,12 @@
 func TestAgentRestartResetsTheForecast(t *testing.T) {
 	c := newCosts(ablation.Set{})
 	now := reportSwing(c, "w1", 0)
-	usual := c.at(now).Bound("nobody", "watch")
+	usual := c.at(now).HeadroomBudget("nobody", "watch")
 	const mean = 2.8 - minHeadroom
 	report(c, "w1", now, Reading{Image: "watch", Job: "w1", AtMS: 10, Headroom: 2.8, Own: 2.8, Bears: 5})
 	for at := range 3 {
 		later := now.Add(time.Duration(at) * time.Second)
-		if got := c.at(later).Bound("w1", "watch"); got < usual-0.1 || got > mean {
+		if got := c.at(later).HeadroomBudget("w1", "watch"); got < usual-0.1 || got > mean {
 			t.Errorf("%d s later: %.2f may be taken after the agent's start, usually %.2f, on average %.2f", at, got, usual, mean)
 		}
 	}
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -73,7 +73,7 @@
 			return need * most, p.in.Costs.Now(c.worker.ID, serving)
 		}
 	}
-	return need * p.in.Costs.Cost(serving, st.Image), p.in.Costs.Bound(c.worker.ID, serving)
+	return need * p.in.Costs.Cost(serving, st.Image), p.in.Costs.HeadroomBudget(c.worker.ID, serving)
 }
 
 // interferenceOn is the same ratio for a serving task that is placed beside a worker's filling
@@ -82,7 +82,7 @@
 	if p.in.Costs == nil {
 		return 0
 	}
-	return p.headroomUsed(c, st.Image) / p.in.Costs.Bound(c.worker.ID, st.Image)
+	return p.headroomUsed(c, st.Image) / p.in.Costs.HeadroomBudget(c.worker.ID, st.Image)
 }
 
 // processors converts thousandths of a processor to processors.
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -99,9 +99,9 @@
 	// Cost returns the headroom that one processor of filling work is expected to take from a
 	// serving task.
 	Cost(serving, filling string) float64
-	// Bound returns the headroom that filling work may take from the serving tasks of an image on
+	// HeadroomBudget returns the headroom that filling work may take from the serving tasks of an image on
 	// a worker.
-	Bound(worker, serving string) float64
+	HeadroomBudget(worker, serving string) float64
 	// Unseen reports whether the pair has never been observed, and if so the most headroom that
 	// one processor may take.
 	Unseen(serving, filling string) (most float64, unseen bool)
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -27,9 +27,9 @@
 // costTable maps pairs of a serving and a filling image to costs.
 type costTable map[[2]string]float64
 
-func (t costTable) Cost(serving, filling string) float64 { return t[[2]string{serving, filling}] }
-func (t costTable) Bound(string, string) float64         { return 1 }
-func (t costTable) Now(string, string) float64           { return 1 }
+func (t costTable) Cost(serving, filling string) float64  { return t[[2]string{serving, filling}] }
+func (t costTable) HeadroomBudget(string, string) float64 { return 1 }
+func (t costTable) Now(string, string) float64            { return 1 }
 func (t costTable) Alike(a, b string) float64 {
 	if a == b {
 		return 1
@@ -420,9 +420,9 @@
 // headroom. It maps workers to the headroom that their serving tasks can spare at the moment.
 type unseenCosts map[string]float64
 
-func (u unseenCosts) Cost(string, string) float64  { return 0.05 }
-func (u unseenCosts) Bound(string, string) float64 { return 1 }
-func (u unseenCosts) Alike(a, b string) float64    { return 0.5 }
+func (u unseenCosts) Cost(string, string) float64           { return 0.05 }
+func (u unseenCosts) HeadroomBudget(string, string) float64 { return 1 }
+func (u unseenCosts) Alike(a, b string) float64             { return 0.5 }
 
 func (u unseenCosts) Now(worker, _ string) float64          { return u[worker] }
 func (u unseenCosts) Unseen(string, string) (float64, bool) { return 0.2, true }
