--- a/control/costs.go
+++ b/control/costs.go
@@ -214,8 +214,8 @@
 	return c.spareNow(worker, serving, c.now)
 }
 
-// Unseen implements dispatch.Costs.
-func (c costsAt) Unseen(serving, filling string) (float64, bool) {
+// MaxCostIfUnseen implements dispatch.Costs.
+func (c costsAt) MaxCostIfUnseen(serving, filling string) (float64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.pressures.Of(serving, filling)
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -69,7 +69,7 @@
 func (p *planner) headroomDemand(c *candidate, serving string, st *jobs.Step) (demand, bound float64) {
 	need := processors(int(st.Need.MilliCPU))
 	if c.fillers[st.Image] == 0 && !p.in.Disabled.Tries {
-		if most, unseen := p.in.Costs.Unseen(serving, st.Image); unseen {
+		if most, unseen := p.in.Costs.MaxCostIfUnseen(serving, st.Image); unseen {
 			return need * most, p.in.Costs.Now(c.worker.ID, serving)
 		}
 	}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -102,9 +102,9 @@
 	// HeadroomBudget returns the headroom that filling work may take from the serving tasks of an image on
 	// a worker.
 	HeadroomBudget(worker, serving string) float64
-	// Unseen reports whether the pair has never been observed, and if so the most headroom that
+	// MaxCostIfUnseen reports whether the pair has never been observed, and if so the most headroom that
 	// one processor may take.
-	Unseen(serving, filling string) (most float64, unseen bool)
+	MaxCostIfUnseen(serving, filling string) (most float64, unseen bool)
 	// Alike returns the probability that the same filling images interfere with both serving
 	// images.
 	Alike(a, b string) float64
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -37,7 +37,7 @@
 	return 0.5
 }
 
-func (t costTable) Unseen(string, string) (float64, bool) { return 0, false }
+func (t costTable) MaxCostIfUnseen(string, string) (float64, bool) { return 0, false }
 
 // harness is a job state with helpers that change it and run passes.
 type harness struct {
@@ -424,8 +424,8 @@
 func (u unseenCosts) HeadroomBudget(string, string) float64 { return 1 }
 func (u unseenCosts) Alike(a, b string) float64             { return 0.5 }
 
-func (u unseenCosts) Now(worker, _ string) float64          { return u[worker] }
-func (u unseenCosts) Unseen(string, string) (float64, bool) { return 0.2, true }
+func (u unseenCosts) Now(worker, _ string) float64                   { return u[worker] }
+func (u unseenCosts) MaxCostIfUnseen(string, string) (float64, bool) { return 0.2, true }
 
 // A filling image was never observed beside a serving one and may take all its headroom: tried at
 // peak load, users would wait half a second over target before that is detected. One task is
