--- a/control/costs.go
+++ b/control/costs.go
@@ -222,8 +222,8 @@
 	return e.Mean + unseenDeviations*math.Sqrt(e.Var), !known(e)
 }
 
-// Alike implements dispatch.Costs.
-func (c costsAt) Alike(a, b string) float64 {
+// Similarity implements dispatch.Costs.
+func (c costsAt) Similarity(a, b string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pressures.Alike(a, b)
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -146,7 +146,7 @@
 	sum, n := 0.0, 0
 	for _, image := range slices.Sorted(maps.Keys(c.serving)) { // sorted, since a sum of floats depends on the order
 		tasks := c.serving[image]
-		sum += float64(tasks) * p.in.Costs.Alike(image, served)
+		sum += float64(tasks) * p.in.Costs.Similarity(image, served)
 		n += tasks
 	}
 	return sum / float64(n)
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -105,9 +105,9 @@
 	// MaxCostIfUnseen reports whether the pair has never been observed, and if so the most headroom that
 	// one processor may take.
 	MaxCostIfUnseen(serving, filling string) (most float64, unseen bool)
-	// Alike returns the probability that the same filling images interfere with both serving
+	// Similarity returns the probability that the same filling images interfere with both serving
 	// images.
-	Alike(a, b string) float64
+	Similarity(a, b string) float64
 	// Now returns the headroom that the serving tasks of an image on a worker can spare at the
 	// moment.
 	Now(worker, serving string) float64
--- a/dispatch/similarity_test.go
+++ b/dispatch/similarity_test.go
@@ -6,7 +6,7 @@
 // others are not.
 type twoSimilarityGroups struct{ costTable }
 
-func (twoSimilarityGroups) Alike(a, b string) float64 {
+func (twoSimilarityGroups) Similarity(a, b string) float64 {
 	if a[0] == b[0] {
 		return 1
 	}
