--- a/control/costs.go
+++ b/control/costs.go
@@ -226,7 +226,7 @@
 func (c costsAt) Similarity(a, b string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pressures.Alike(a, b)
+	return c.pressures.Similarity(a, b)
 }
 
 // logPairs logs the estimates of all pairs at debug level.
--- a/interference/similarity.go
+++ b/interference/similarity.go
@@ -55,9 +55,9 @@
 	return updated
 }
 
-// Alike returns the probability that two served images are similar, that is, that the same filling
+// Similarity returns the probability that two served images are similar, that is, that the same filling
 // images interfere with both. It is 1 for an image and itself.
-func (p *Pressures) Alike(a, b string) float64 {
+func (p *Pressures) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
 	}
--- a/interference/similarity_test.go
+++ b/interference/similarity_test.go
@@ -77,7 +77,7 @@
 				t.Errorf("seed %d: the estimate for filling image %d has the deviation %.3f", seed, i, math.Sqrt(e.Var))
 			}
 		}
-		if a, b := f.p.Alike("s10", "s8"), f.p.Alike("s10", "s2"); a < 0.8 || b > 0.2 {
+		if a, b := f.p.Similarity("s10", "s8"), f.p.Similarity("s10", "s2"); a < 0.8 || b > 0.2 {
 			t.Errorf("seed %d: probability of similarity %.2f to its own kind, %.2f to the other", seed, a, b)
 		}
 	}
@@ -145,7 +145,7 @@
 	if n := len(f.p.similarity.predicted); n > maxImages*maxImages {
 		t.Errorf("%d pairs are predicted", n)
 	}
-	if f.p.Alike("s1", "s2") < 0.8 || f.p.Alike("s1", "s8") > 0.2 {
+	if f.p.Similarity("s1", "s2") < 0.8 || f.p.Similarity("s1", "s8") > 0.2 {
 		t.Error("images observed often are no longer classified")
 	}
 	if e := f.estimate(100+2*maxImages-1, 0); math.Sqrt(e.Var) < 0.05 {
