--- a/control/costs.go
+++ b/control/costs.go
@@ -40,8 +40,8 @@
 	// per second.
 	Own  float64 `msgpack:"o"`
 	Rate float64 `msgpack:"e"`
-	// Bears is the headroom that filling work may take, according to the agent's forecast.
-	Bears float64 `msgpack:"b"`
+	// SpareHeadroom is the headroom that filling work may take, according to the agent's forecast.
+	SpareHeadroom float64 `msgpack:"b"`
 	// Runs is the number of the served tasks.
 	Runs int `msgpack:"n"`
 	// Fillers is the number of processors in use, by filling image.
@@ -207,8 +207,8 @@
 	return bound
 }
 
-// Now implements dispatch.Costs.
-func (c costsAt) Now(worker, serving string) float64 {
+// SpareHeadroom implements dispatch.Costs.
+func (c costsAt) SpareHeadroom(worker, serving string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spareNow(worker, serving, c.now)
--- a/control/costs_test.go
+++ b/control/costs_test.go
@@ -24,7 +24,7 @@
 	now := start
 	for i, n := range processors {
 		now = start.Add(time.Duration(i) * 500 * time.Millisecond)
-		report(c, worker, now, Reading{Image: "watch", Job: "a", AtMS: int64(i) * 500, Headroom: 3 - cost*n, Own: 3, Bears: 1.8, Runs: 2, Fillers: map[string]float64{filling: n}})
+		report(c, worker, now, Reading{Image: "watch", Job: "a", AtMS: int64(i) * 500, Headroom: 3 - cost*n, Own: 3, SpareHeadroom: 1.8, Runs: 2, Fillers: map[string]float64{filling: n}})
 	}
 	return now
 }
@@ -73,7 +73,7 @@
 	for i := range 120 {
 		now = now.Add(500 * time.Millisecond)
 		own := 2.8 + 1.1*math.Sin(2*math.Pi*float64(i)/28)
-		report(c, "w1", now, Reading{Image: "watch", Job: "a", AtMS: int64(i) * 500, Headroom: own, Own: own, Bears: 2.5})
+		report(c, "w1", now, Reading{Image: "watch", Job: "a", AtMS: int64(i) * 500, Headroom: own, Own: own, SpareHeadroom: 2.5})
 	}
 	usual := c.at(now).HeadroomBudget("w2", "watch")
 	if usual < 0.7 || usual > 1.3 {
@@ -82,14 +82,14 @@
 	if got := c.at(now).HeadroomBudget("w1", "watch"); got != usual {
 		t.Errorf("an agent that reports 2.5 raises it to %.2f", got)
 	}
-	report(c, "w1", now, Reading{Image: "watch", Job: "b", Headroom: 1.4, Own: 1.4, Bears: 0.3})
+	report(c, "w1", now, Reading{Image: "watch", Job: "b", Headroom: 1.4, Own: 1.4, SpareHeadroom: 0.3})
 	if got := c.at(now).HeadroomBudget("w1", "watch"); got != 0.3 {
 		t.Errorf("beside a job with a spare headroom of 0.3 it is %.2f", got)
 	}
 	if got := c.at(now.Add(groupTTL+time.Second)).HeadroomBudget("w1", "watch"); got < 0.7 {
 		t.Errorf("an old report still counts: %.2f", got)
 	}
-	report(c, "w3", now, Reading{Image: "watch", Job: "c", Headroom: 1.4, Own: 1.4, Bears: 0.2})
+	report(c, "w3", now, Reading{Image: "watch", Job: "c", Headroom: 1.4, Own: 1.4, SpareHeadroom: 0.2})
 	c.expire(now.Add(groupTTL / 2))
 	if got := c.at(now).HeadroomBudget("w3", "watch"); got != 0.2 {
 		t.Errorf("a recent report was dropped: %.2f", got)
--- a/control/headroom.go
+++ b/control/headroom.go
@@ -98,7 +98,7 @@
 	if !seen || over >= minReadingGap || over < 0 {
 		s.last = *r
 	}
-	s.reportedAt, s.spare = now, r.Bears
+	s.reportedAt, s.spare = now, r.SpareHeadroom
 	h.recordOwn(&s, r, now, !seen || over < 0)
 	groups[key] = s
 	return last, over
--- a/control/headroom_test.go
+++ b/control/headroom_test.go
@@ -15,7 +15,7 @@
 	for i := range 120 {
 		now = now.Add(500 * time.Millisecond)
 		own := 2.8 + 1.1*math.Sin(2*math.Pi*float64(i)/28+phase)
-		report(c, worker, now, Reading{Image: "watch", Job: worker, AtMS: int64(i) * 500, Headroom: own, Own: own, Bears: own - 1.05})
+		report(c, worker, now, Reading{Image: "watch", Job: worker, AtMS: int64(i) * 500, Headroom: own, Own: own, SpareHeadroom: own - 1.05})
 	}
 	return now
 }
@@ -48,7 +48,7 @@
 	now := reportSwing(c, "w1", 0)
 	usual := c.at(now).HeadroomBudget("nobody", "watch")
 	const mean = 2.8 - minHeadroom
-	report(c, "w1", now, Reading{Image: "watch", Job: "w1", AtMS: 10, Headroom: 2.8, Own: 2.8, Bears: 5})
+	report(c, "w1", now, Reading{Image: "watch", Job: "w1", AtMS: 10, Headroom: 2.8, Own: 2.8, SpareHeadroom: 5})
 	for at := range 3 {
 		later := now.Add(time.Duration(at) * time.Second)
 		if got := c.at(later).HeadroomBudget("w1", "watch"); got < usual-0.1 || got > mean {
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -70,7 +70,7 @@
 	need := processors(int(st.Need.MilliCPU))
 	if c.fillers[st.Image] == 0 && !p.in.Disabled.Tries {
 		if most, unseen := p.in.Costs.MaxCostIfUnseen(serving, st.Image); unseen {
-			return need * most, p.in.Costs.Now(c.worker.ID, serving)
+			return need * most, p.in.Costs.SpareHeadroom(c.worker.ID, serving)
 		}
 	}
 	return need * p.in.Costs.Cost(serving, st.Image), p.in.Costs.HeadroomBudget(c.worker.ID, serving)
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -108,9 +108,9 @@
 	// Similarity returns the probability that the same filling images interfere with both serving
 	// images.
 	Similarity(a, b string) float64
-	// Now returns the headroom that the serving tasks of an image on a worker can spare at the
+	// SpareHeadroom returns the headroom that the serving tasks of an image on a worker can spare at the
 	// moment.
-	Now(worker, serving string) float64
+	SpareHeadroom(worker, serving string) float64
 }
 
 // planner is the mutable state of one pass.
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -29,7 +29,7 @@
 
 func (t costTable) Cost(serving, filling string) float64  { return t[[2]string{serving, filling}] }
 func (t costTable) HeadroomBudget(string, string) float64 { return 1 }
-func (t costTable) Now(string, string) float64            { return 1 }
+func (t costTable) SpareHeadroom(string, string) float64  { return 1 }
 func (t costTable) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
@@ -424,7 +424,7 @@
 func (u unseenCosts) HeadroomBudget(string, string) float64 { return 1 }
 func (u unseenCosts) Similarity(a, b string) float64        { return 0.5 }
 
-func (u unseenCosts) Now(worker, _ string) float64                   { return u[worker] }
+func (u unseenCosts) SpareHeadroom(worker, _ string) float64         { return u[worker] }
 func (u unseenCosts) MaxCostIfUnseen(string, string) (float64, bool) { return 0.2, true }
 
 // A filling image was never observed beside a serving one and may take all its headroom: tried at
--- a/runner/pacer.go
+++ b/runner/pacer.go
@@ -105,7 +105,7 @@
 		}
 		t := p.trackers[g]
 		p.readings = append(p.readings, control.Reading{Image: g.image, Job: g.job, AtMS: now.Sub(p.begun).Milliseconds(),
-			Headroom: s.headroom(), Own: t.Own(), Rate: t.Rate(), Bears: p.spareHeadroom(g, sc.full), Runs: len(s.tails), Fillers: fillers})
+			Headroom: s.headroom(), Own: t.Own(), Rate: t.Rate(), SpareHeadroom: p.spareHeadroom(g, sc.full), Runs: len(s.tails), Fillers: fillers})
 	}
 	if n := len(p.readings); n > maxReadings {
 		p.readings = p.readings[n-maxReadings:]
--- a/runner/pacer_test.go
+++ b/runner/pacer_test.go
@@ -324,8 +324,8 @@
 	if last.Fillers["heavy"] > 1 || last.Fillers["light"] < renderProcessors-1 {
 		t.Errorf("the last reading counts %v", last.Fillers)
 	}
-	if math.Abs(last.Bears-0.25) > 0.1 {
-		t.Errorf("the reported spare headroom is %.2f", last.Bears)
+	if math.Abs(last.SpareHeadroom-0.25) > 0.1 {
+		t.Errorf("the reported spare headroom is %.2f", last.SpareHeadroom)
 	}
 }
 
