--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -179,7 +179,7 @@
 			}
 			return 0
 		}
-		plan = dispatch.Next(in)
+		plan = dispatch.Plan(in)
 		d.waits.fill(s.Jobs, &plan, begun)
 	})
 	dispatchSeconds.UpdateDuration(begun)
--- a/dispatch/availability_test.go
+++ b/dispatch/availability_test.go
@@ -25,12 +25,12 @@
 		t.Fatal("the test needs both tasks on one worker")
 	}
 	s.in.Leaving = map[string]bool{from: true}
-	stops := func() int { return len(Next(s.in).Stops) }
+	stops := func() int { return len(Plan(s.in).Stops) }
 	if n := stops(); n != 0 {
 		t.Fatalf("%d tasks were moved before any was running", n)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	if len(plan.Stops) != 1 {
 		t.Fatalf("%d tasks were moved together", len(plan.Stops))
 	}
--- a/dispatch/copies_test.go
+++ b/dispatch/copies_test.go
@@ -15,7 +15,7 @@
 func (s *harness) copiesAt(nowMS int64) []string {
 	s.t.Helper()
 	s.in.NowMS, s.in.Copies = nowMS, true
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	s.index++
 	if _, stale := s.ApplyPlan(plan, rules, s.index); stale > 0 {
 		s.t.Fatalf("%d placements of a plan for the current state were rejected", stale)
@@ -125,7 +125,7 @@
 	}
 	s.in.NowMS, s.in.Copies = 1100, true
 	for b.Loop() {
-		if plan := Next(s.in); !plan.Empty() {
+		if plan := Plan(s.in); !plan.Empty() {
 			b.Fatal("a copy was placed")
 		}
 	}
--- a/dispatch/datacentre_test.go
+++ b/dispatch/datacentre_test.go
@@ -60,7 +60,7 @@
 	if got := s.workersOf(waits); len(got) != 0 {
 		t.Errorf("the task that fits nowhere else is on %v", got)
 	}
-	if plan := Next(s.in); len(plan.Stops) != 0 {
+	if plan := Plan(s.in); len(plan.Stops) != 0 {
 		t.Errorf("%d runs were stopped", len(plan.Stops))
 	}
 	s.order("hall-a", datacentre.InService)
@@ -79,7 +79,7 @@
 	gang := task(2, 6000, 100)
 	gang.Gang = true
 	together, single := s.submit(1, "/titles/", 0, gang), s.submit(2, "/titles/", 0, task(4, 2000, 100))
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	s.order("hall-a", datacentre.Cordoned)
 	cordoned := rules
 	cordoned.Cordoned = s.in.DataCentres.Cordoned
@@ -115,7 +115,7 @@
 	s.pass()
 	s.order("hall-a", datacentre.Draining)
 	s.in.NowMS += 2 * settleTime.Milliseconds()
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	if len(plan.Stops) != 1 || plan.Stops[0].Task.Job != leaves {
 		t.Fatalf("stopped runs: %+v", plan.Stops)
 	}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -99,17 +99,17 @@
 	// Cost returns the headroom that one processor of filling work is expected to take from a
 	// serving task.
 	Cost(serving, filling string) float64
-	// HeadroomBudget returns the headroom that filling work may take from the serving tasks of an image on
-	// a worker.
+	// HeadroomBudget returns the headroom that filling work may take from the serving tasks of an
+	// image on a worker.
 	HeadroomBudget(worker, serving string) float64
-	// MaxCostIfUnseen reports whether the pair has never been observed, and if so the most headroom that
-	// one processor may take.
+	// MaxCostIfUnseen reports whether the pair has never been observed, and if so the most headroom
+	// that one processor may take.
 	MaxCostIfUnseen(serving, filling string) (most float64, unseen bool)
 	// Similarity returns the probability that the same filling images interfere with both serving
 	// images.
 	Similarity(a, b string) float64
-	// SpareHeadroom returns the headroom that the serving tasks of an image on a worker can spare at the
-	// moment.
+	// SpareHeadroom returns the headroom that the serving tasks of an image on a worker can spare
+	// at the moment.
 	SpareHeadroom(worker, serving string) float64
 }
 
@@ -146,8 +146,8 @@
 	isolated bool
 }
 
-// Next returns the placements, copies and stops of one pass.
-func Next(in Input) jobs.Plan {
+// Plan returns the placements, copies and stops of one pass.
+func Plan(in Input) jobs.Plan {
 	p := &planner{in: in, plan: jobs.Plan{AtMS: in.NowMS}, moved: make(map[jobs.GroupKey]int)}
 	requests, overrunning := p.requests(), p.overrunning()
 	if len(requests) == 0 && len(overrunning) == 0 && !in.Regroup && len(in.Stalled) == 0 && len(in.Stuck) == 0 && len(p.workersToEvacuate()) == 0 {
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -71,7 +71,7 @@
 // pass computes and applies one plan, and returns the number of tasks placed by job.
 func (s *harness) pass() map[string]int {
 	s.t.Helper()
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	s.index++
 	_, stale := s.ApplyPlan(plan, rules, s.index)
 	if stale > 0 {
@@ -259,7 +259,7 @@
 		s.submit(1, "/titles/", 0, serving(1, 1000, "watch"))
 		s.ApplyPlan(jobs.Plan{Placements: []jobs.Placement{{Job: fmt.Sprintf("%016x", 1), Indexes: []int{0}, Workers: []string{at.Worker}}}}, rules, s.index)
 		s.in.Stalled = []jobs.Stop{{Task: jobs.Ref{Job: render}, Run: at.Run}}
-		plan := Next(s.in)
+		plan := Plan(s.in)
 		if got, want := len(plan.Stops), workers-1; got != want {
 			t.Errorf("%d workers: %d runs were stopped, want %d", workers, got, want)
 		}
@@ -283,7 +283,7 @@
 		s.index++
 		s.ApplyRegister(leaving, s.index)
 		stopped := make(map[string]bool)
-		for _, st := range Next(s.in).Stops {
+		for _, st := range Plan(s.in).Stops {
 			stopped[st.Task.Job] = true
 		}
 		hasCapacity := workers > 1
--- a/dispatch/ranking_test.go
+++ b/dispatch/ranking_test.go
@@ -88,7 +88,7 @@
 		s := newLoadedHarness(t, 300, task(tasks, 280, 1000))
 		n := 0
 		s.in.Slowness = func(string) float64 { n++; return 0 }
-		Next(s.in)
+		Plan(s.in)
 		return n
 	}
 	if ten, forty := scans(10), scans(40); forty > 3*ten {
--- a/dispatch/regroup_test.go
+++ b/dispatch/regroup_test.go
@@ -36,11 +36,11 @@
 // similarities are known the dissimilar one must move to similar ones, and must not move back.
 func TestDissimilarTaskMovesToSimilarTasks(t *testing.T) {
 	s := newMixedHarness(t, serving(1, 2000, "b2"))
-	if plan := Next(s.in); len(plan.Stops) != 0 {
+	if plan := Plan(s.in); len(plan.Stops) != 0 {
 		t.Fatalf("%d tasks move although Regroup is not set", len(plan.Stops))
 	}
 	s.in.Regroup = true
-	plan := Next(s.in)
+	plan := Plan(s.in)
 	if len(plan.Stops) != 1 || plan.Stops[0].Task.Job != s.jobAt(3) {
 		t.Fatalf("stopped runs: %+v", plan.Stops)
 	}
@@ -52,7 +52,7 @@
 		t.Errorf("the task was placed on %v", got)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
-	if plan := Next(s.in); len(plan.Stops) != 0 {
+	if plan := Plan(s.in); len(plan.Stops) != 0 {
 		t.Errorf("runs move again: %+v", plan.Stops)
 	}
 }
@@ -76,7 +76,7 @@
 		s.index++
 		s.ApplyPlan(jobs.Plan{Placements: []jobs.Placement{pl}, AtMS: 1000}, rules, s.index)
 		moved := 0
-		for _, st := range Next(s.in).Stops {
+		for _, st := range Plan(s.in).Stops {
 			if st.Task.Job == s.jobAt(3) {
 				moved++
 			}
@@ -88,7 +88,7 @@
 	fresh := newMixedHarness(t, serving(1, 2000, "b2"))
 	fresh.in.Regroup = true
 	fresh.in.NowMS -= 1
-	if plan := Next(fresh.in); len(plan.Stops) != 0 {
+	if plan := Plan(fresh.in); len(plan.Stops) != 0 {
 		t.Errorf("runs that have only just started move: %+v", plan.Stops)
 	}
 }
@@ -98,7 +98,7 @@
 	s := newMixedHarness(t, serving(1, 2000, "b2"))
 	s.in.Costs = costTable{}
 	s.in.Regroup = true
-	if plan := Next(s.in); len(plan.Stops) != 0 {
+	if plan := Plan(s.in); len(plan.Stops) != 0 {
 		t.Errorf("tasks move: %+v", plan.Stops)
 	}
 }
--- a/dispatch/size_bench_test.go
+++ b/dispatch/size_bench_test.go
@@ -28,7 +28,7 @@
 				s := newLoadedHarness(b, workers, step)
 				b.ReportAllocs()
 				for b.Loop() {
-					if plan := Next(s.in); len(plan.Placements) == 0 {
+					if plan := Plan(s.in); len(plan.Placements) == 0 {
 						b.Fatal("nothing is placed")
 					}
 				}
@@ -42,7 +42,7 @@
 func TestPassAllocatesNothingForEachWorker(t *testing.T) {
 	allocated := func(workers int) float64 {
 		s := newLoadedHarness(t, workers, task(13, 280, 1000))
-		return testing.AllocsPerRun(10, func() { Next(s.in) })
+		return testing.AllocsPerRun(10, func() { Plan(s.in) })
 	}
 	const few, many = 100, 500
 	if each := (allocated(many) - allocated(few)) / (many - few); each > 0.1 {
