--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -267,7 +267,7 @@
 	kept := make(map[string]time.Time)
 	if waiting {
 		for _, w := range in.Jobs.Workers {
-			if _, seen := kept[w.Service]; seen || !in.Takes(w) {
+			if _, seen := kept[w.Service]; seen || !in.Accepts(w) {
 				continue
 			}
 			since, open := d.openSince[w.Service]
--- a/dispatch/evacuate.go
+++ b/dispatch/evacuate.go
@@ -15,8 +15,8 @@
 	return w.Draining || in.Leaving[w.ID] || in.DataCentres.Cordoned(w.DataCentre)
 }
 
-// Takes reports whether new tasks may start on a worker.
-func (in *Input) Takes(w *jobs.Worker) bool { return !in.closed(w) && !in.Avoided[w.ID] }
+// Accepts reports whether new tasks may start on a worker.
+func (in *Input) Accepts(w *jobs.Worker) bool { return !in.closed(w) && !in.Avoided[w.ID] }
 
 // mustEvacuate reports whether standing tasks are to move off a worker: it is about to end, by
 // itself or for maintenance of its machine, or an operator drains its data centre.
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -186,7 +186,7 @@
 	slices.Sort(ids)
 	for i, id := range ids {
 		w := p.in.Jobs.Workers[id]
-		if !p.in.Takes(w) {
+		if !p.in.Accepts(w) {
 			continue
 		}
 		u := p.in.Jobs.Use(id)
