--- a/control/admission.go
+++ b/control/admission.go
@@ -33,7 +33,7 @@
 	}
 	d.submitted(c)
 	e := refusal.New(refusal.Overloaded, "hand it in again later", "%s", v.Reason())
-	e.RetryAfter = refusal.Spread(v.After)
+	e.RetryAfter = refusal.Spread(v.RetryAfter)
 	return e
 }
 
@@ -77,7 +77,7 @@
 			return
 		}
 		if q.Advice != nil && d.advice.advisor == nil {
-			v = dispatch.Verdict{Refuse: true, Unadvised: true, After: unadvisedRetry}
+			v = dispatch.Verdict{Refuse: true, Unadvised: true, RetryAfter: unadvisedRetry}
 			return
 		}
 		v = dispatch.Admit(d.input(s), q, &c.Spec)
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -18,8 +18,8 @@
 	// OutOfService says that the job can't start at present: operators have taken every data
 	// centre with a worker for it out of service.
 	OutOfService bool
-	// After is how long the caller should wait before it submits the job again.
-	After time.Duration
+	// RetryAfter is how long the caller should wait before it submits the job again.
+	RetryAfter time.Duration
 	// Expected is when the job is expected to end, Objective when it should, both counted from
 	// its acceptance.
 	Expected, Objective time.Duration
@@ -45,7 +45,7 @@
 	// that would have been in time than it spares callers a wait, since the work ahead is known
 	// only roughly.
 	admitFactor = lateFactor
-	// maxRetryAfter limits Verdict.After, since the work ahead changes.
+	// maxRetryAfter limits Verdict.RetryAfter, since the work ahead changes.
 	maxRetryAfter = 5 * time.Second
 )
 
@@ -56,7 +56,7 @@
 // Only jobs that can still be in time count as work ahead; the others are served after them.
 func Admit(in Input, q *queues.Queue, spec *jobs.Spec) Verdict {
 	if in.outOfService(q.Service) {
-		return Verdict{Refuse: true, OutOfService: true, After: outOfServiceRetryAfter}
+		return Verdict{Refuse: true, OutOfService: true, RetryAfter: outOfServiceRetryAfter}
 	}
 	if in.Disabled.Admission {
 		return Verdict{}
@@ -92,7 +92,7 @@
 	v := Verdict{Expected: wait + max(f.remaining, ms(f.work/available)), Objective: f.deadline}
 	if v.Expected > ms(admitFactor*float64(f.deadline)/float64(time.Millisecond)) {
 		v.Refuse = true
-		v.After = min(v.Expected-v.Objective, maxRetryAfter)
+		v.RetryAfter = min(v.Expected-v.Objective, maxRetryAfter)
 	}
 	return v
 }
@@ -140,7 +140,7 @@
 	if total == 0 || float64(held+StandingCPU(spec)) <= standingShare*float64(total) {
 		return Verdict{}
 	}
-	return Verdict{Refuse: true, After: standingRetryAfter}
+	return Verdict{Refuse: true, RetryAfter: standingRetryAfter}
 }
 
 // StandingCPU returns the processors that a job's standing tasks hold once all are placed, in
--- a/dispatch/datacentre_test.go
+++ b/dispatch/datacentre_test.go
@@ -145,7 +145,7 @@
 	}
 	s.order("hall-b", datacentre.Draining)
 	v := Admit(s.in, &config.Queues[0], spec)
-	if !v.Refuse || v.After <= 0 {
+	if !v.Refuse || v.RetryAfter <= 0 {
 		t.Errorf("with none left: %+v", v)
 	}
 	s.order("hall-b", datacentre.InService)
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -342,7 +342,7 @@
 		v := Admit(s.in, q, spec)
 		if v.Refuse {
 			refused++
-			if v.After <= 0 || v.After > maxRetryAfter || v.Expected <= v.Objective {
+			if v.RetryAfter <= 0 || v.RetryAfter > maxRetryAfter || v.Expected <= v.Objective {
 				t.Fatalf("refused with the verdict %+v", v)
 			}
 			continue
