--- a/control/admission.go
+++ b/control/admission.go
@@ -77,7 +77,7 @@
 			return
 		}
 		if q.Advice != nil && d.advice.advisor == nil {
-			v = dispatch.Verdict{Refuse: true, Unadvised: true, RetryAfter: unadvisedRetry}
+			v = dispatch.Verdict{Refuse: true, NoAdvisor: true, RetryAfter: unadvisedRetry}
 			return
 		}
 		v = dispatch.Admit(d.input(s), q, &c.Spec)
--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -12,9 +12,9 @@
 // Verdict is the decision whether to accept a job.
 type Verdict struct {
 	Refuse bool
-	// Unadvised says that the job could never start: its queue needs an advisor and none is
+	// NoAdvisor says that the job could never start: its queue needs an advisor and none is
 	// configured.
-	Unadvised bool
+	NoAdvisor bool
 	// OutOfService says that the job can't start at present: operators have taken every data
 	// centre with a worker for it out of service.
 	OutOfService bool
@@ -27,7 +27,7 @@
 
 // Reason returns why the job is refused.
 func (v *Verdict) Reason() string {
-	if v.Unadvised {
+	if v.NoAdvisor {
 		return "the queue needs an advisor, and the control's settings name none"
 	}
 	if v.OutOfService {
