--- a/control/advisor.go
+++ b/control/advisor.go
@@ -112,9 +112,9 @@
 // of the tickets; q is nil if there is nothing to ask.
 func (r *adviceRequester) next() (q *advice.Question, limit, valid time.Duration) {
 	now := time.Now()
-	var wanted []dispatch.Wanted
+	var wanted []dispatch.AdviceRequest
 	r.d.r.machine.Read(func(s *State) {
-		wanted = dispatch.Advised(r.d.input(s))
+		wanted = dispatch.AdviceRequests(r.d.input(s))
 	})
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
--- a/dispatch/advised.go
+++ b/dispatch/advised.go
@@ -7,8 +7,8 @@
 	"github.com/waxwinghaven/waxwinghaven/queues"
 )
 
-// Wanted is a step that waits for its queue's advisor to name the workers that may run it.
-type Wanted struct {
+// AdviceRequest is a step that waits for its queue's advisor to name the workers that may run it.
+type AdviceRequest struct {
 	Step jobs.GroupKey
 	// Tasks is the number of its tasks that wait.
 	Tasks int
@@ -19,14 +19,14 @@
 	Advice queues.Advice
 }
 
-// Advised returns the steps of advised queues that have waiting tasks, the most urgent first. It
-// is called after each pass, so it returns early if no queue is advised.
-func Advised(in Input) []Wanted {
+// AdviceRequests returns the steps of advised queues that have waiting tasks, the most urgent
+// first. It is called after each pass, so it returns early if no queue is advised.
+func AdviceRequests(in Input) []AdviceRequest {
 	if !in.Config.Advised() {
 		return nil
 	}
 	p := &planner{in: in}
-	var out []Wanted
+	var out []AdviceRequest
 	for _, r := range p.requests() {
 		if r.queue.Advice == nil {
 			continue
@@ -34,7 +34,7 @@
 		if p.workers == nil {
 			p.collectCandidates()
 		}
-		out = append(out, Wanted{Step: r.group.Key(), Tasks: r.group.Waiting(), Workers: p.candidates(r), Advice: *r.queue.Advice})
+		out = append(out, AdviceRequest{Step: r.group.Key(), Tasks: r.group.Waiting(), Workers: p.candidates(r), Advice: *r.queue.Advice})
 	}
 	return out
 }
--- a/dispatch/advised_test.go
+++ b/dispatch/advised_test.go
@@ -57,7 +57,7 @@
 	missing := task(1, 2000, 100)
 	missing.Label = "nowhere"
 	s.submit(3, "/titles/", 0, missing)
-	got := Advised(s.in)
+	got := AdviceRequests(s.in)
 	if len(got) != 2 || got[0].Step.Job != job || got[0].Tasks != 3 {
 		t.Fatalf("requests for advice: %+v", got)
 	}
