--- a/control/waves.go
+++ b/control/waves.go
@@ -214,8 +214,8 @@
 	now := w.r.dispatcher.nowMS()
 	w.r.machine.Read(func(s *State) {
 		d = upkeep.Next(upkeep.Input{State: s.Waves, Machines: list, NowMS: now, Upkeep: w.upkeepTime(),
-			Empty:  func(worker string) bool { return len(s.Jobs.RunsOn(worker)) == 0 },
-			Spared: func(worker string) bool { return dispatch.Spared(s.Jobs, worker, now) }})
+			Empty:   func(worker string) bool { return len(s.Jobs.RunsOn(worker)) == 0 },
+			MayStop: func(worker string) bool { return dispatch.MayStop(s.Jobs, worker, now) }})
 	})
 	return d
 }
@@ -374,7 +374,7 @@
 	may = true
 	for _, x := range list {
 		if x.Name == machine && x.Worker != "" {
-			w.r.machine.Read(func(s *State) { may = dispatch.Spared(s.Jobs, x.Worker, now) })
+			w.r.machine.Read(func(s *State) { may = dispatch.MayStop(s.Jobs, x.Worker, now) })
 		}
 	}
 	return may
--- a/dispatch/availability.go
+++ b/dispatch/availability.go
@@ -11,10 +11,10 @@
 // late.
 const settleTime = 4 * time.Second
 
-// Spared reports whether the system may stop a worker: no step then has more unavailable standing
+// MayStop reports whether the system may stop a worker: no step then has more unavailable standing
 // tasks than its caller allows. Tasks that are unavailable for any reason count, since a restart
 // and a crash that are each tolerable could together exceed the limit.
-func Spared(s *jobs.State, worker string, nowMS int64) bool {
+func MayStop(s *jobs.State, worker string, nowMS int64) bool {
 	ending := make(map[jobs.GroupKey]int)
 	for _, ref := range s.RunsOn(worker) {
 		if limitsUnavailable(s.Group(ref).Step()) {
--- a/dispatch/availability_test.go
+++ b/dispatch/availability_test.go
@@ -34,7 +34,7 @@
 	if len(plan.Stops) != 1 {
 		t.Fatalf("%d tasks were moved together", len(plan.Stops))
 	}
-	if Spared(s.State, from, s.in.NowMS) {
+	if MayStop(s.State, from, s.in.NowMS) {
 		t.Fatal("a worker with both of two tasks may be stopped")
 	}
 	s.index++
@@ -49,15 +49,15 @@
 	if at := g.Tasks[st.Task.Index].Placed; at == nil || at.Worker == from {
 		t.Fatalf("the moved task is at %+v", at)
 	}
-	if n := stops(); n != 0 || Spared(s.State, from, s.in.NowMS) {
+	if n := stops(); n != 0 || MayStop(s.State, from, s.in.NowMS) {
 		t.Fatalf("%d more tasks were moved while one starts, or the worker may be stopped", n)
 	}
 	s.in.NowMS += settleTime.Milliseconds()
-	if n := stops(); n != 1 || !Spared(s.State, from, s.in.NowMS) {
+	if n := stops(); n != 1 || !MayStop(s.State, from, s.in.NowMS) {
 		t.Fatalf("%d tasks were moved once the other is running again, want 1, or the worker may not be stopped", n)
 	}
 	s.ApplyCancel(job, s.index+1)
-	if !Spared(s.State, from, 0) {
+	if !MayStop(s.State, from, 0) {
 		t.Fatal("a cancelled job's tasks keep their worker from being stopped")
 	}
 }
--- a/upkeep/next.go
+++ b/upkeep/next.go
@@ -24,8 +24,8 @@
 	// Empty reports whether nothing runs on a worker. Spared reports whether a worker may be
 	// stopped now: it may not while this would make more standing tasks of a step unavailable
 	// than its caller allows.
-	Empty  func(worker string) bool
-	Spared func(worker string) bool
+	Empty   func(worker string) bool
+	MayStop func(worker string) bool
 }
 
 // Decision is what to commit, and the orders to send to the platform after the commit.
@@ -110,7 +110,7 @@
 
 // mayStop reports whether a worker may be stopped now.
 func (in *Input) mayStop(worker string) bool {
-	return worker == "" || in.Empty(worker) || in.Spared(worker)
+	return worker == "" || in.Empty(worker) || in.MayStop(worker)
 }
 
 // readyToStop reports whether a machine that is being emptied can go down.
@@ -118,11 +118,11 @@
 	if p.Worker == "" || in.Empty(p.Worker) {
 		return true
 	}
-	return in.timeInPhase(p) >= in.drainTime(r, p.SinceMS) && in.Spared(p.Worker)
+	return in.timeInPhase(p) >= in.drainTime(r, p.SinceMS) && in.MayStop(p.Worker)
 }
 
-// drainTime returns how long a machine may take to become empty without delaying the wave: its share
-// of the time left when it began, less the time for which it is down.
+// drainTime returns how long a machine may take to become empty without delaying the wave: its
+// share of the time left when it began, less the time for which it is down.
 func (in *Input) drainTime(r *Running, sinceMS int64) time.Duration {
 	left := 0
 	for i := range r.Machines {
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -50,8 +50,8 @@
 
 func (f *fleet) input() Input {
 	return Input{State: f.state, Machines: f.listed, NowMS: f.nowMS, Upkeep: 2 * time.Second,
-		Empty:  func(w string) bool { return !f.busy[w] },
-		Spared: func(w string) bool { return !f.pinned[w] }}
+		Empty:   func(w string) bool { return !f.busy[w] },
+		MayStop: func(w string) bool { return !f.pinned[w] }}
 }
 
 // tick advances the time and makes one decision. The platform carries its orders out if executed is
@@ -137,8 +137,8 @@
 	}
 }
 
-// The worker of a machine in a wave has running tasks, one of which must not be stopped now. It must
-// get no new tasks and time to become empty. After its drain time it goes down with what still
+// The worker of a machine in a wave has running tasks, one of which must not be stopped now. It
+// must get no new tasks and time to become empty. After its drain time it goes down with what still
 // runs, but never with that task.
 func TestWorkerIsDrainedFirst(t *testing.T) {
 	f := newFleet(t, 2)
@@ -172,9 +172,10 @@
 	}
 }
 
-// Orders are lost or carried out without an answer, and the leader may change between any two steps,
-// so that each decision is made from the committed state alone. Workers crash and restart, and
-// machines are removed. No machine may go down twice, the limit must hold, and the wave must end.
+// Orders are lost or carried out without an answer, and the leader may change between any two
+// steps, so that each decision is made from the committed state alone. Workers crash and restart,
+// and machines are removed. No machine may go down twice, the limit must hold, and the wave must
+// end.
 func TestWaveSurvivesLostAnswers(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
