--- a/control/durationmodel.go
+++ b/control/durationmodel.go
@@ -38,7 +38,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.durations.Note(j.Host+j.Prefix, j.Spec.Steps[e.Task.Step].EstimateMS, e.WorkMS)
+	m.durations.Record(j.Host+j.Prefix, j.Spec.Steps[e.Task.Step].EstimateMS, e.WorkMS)
 	key := e.Task.Group()
 	if len(m.groups) >= maxSamples {
 		m.groups = make(map[jobs.GroupKey]sample)
--- a/control/lessons_test.go
+++ b/control/lessons_test.go
@@ -17,7 +17,7 @@
 	d := c.replicas[c.leader()].dispatcher
 	reportFillers(d.costs, "w", "heavy", 0.15, 0, 8, 0, 8)
 	for range 20 {
-		d.durationModel.durations.Note("a.example/watch/", 100, 400)
+		d.durationModel.durations.Record("a.example/watch/", 100, 400)
 	}
 	want := d.costs.at(time.Now()).Cost("watch", "heavy")
 	c.wait("the lessons are committed", func() (committed bool) {
--- a/dispatch/durations.go
+++ b/dispatch/durations.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Note records that a task with an estimate of estimateMS took tookMS. Times of 0 or less are
+// Record records that a task with an estimate of estimateMS took tookMS. Times of 0 or less are
 // ignored.
-func (d *Durations) Note(queue string, estimateMS, tookMS int64) {
+func (d *Durations) Record(queue string, estimateMS, tookMS int64) {
 	if tookMS <= 0 {
 		return
 	}
--- a/dispatch/plan_test.go
+++ b/dispatch/plan_test.go
@@ -319,8 +319,8 @@
 	for i := range 100 {
 		// The first queue's estimates are off by up to eight times in both directions;
 		// its tasks all take 2 s. The second's are exact, and its durations vary.
-		d.Note("wild", 250<<(i%6), 2000)
-		d.Note("good", int64(100*(1+i%9)), int64(100*(1+i%9)))
+		d.Record("wild", 250<<(i%6), 2000)
+		d.Record("good", int64(100*(1+i%9)), int64(100*(1+i%9)))
 	}
 	if got := d.Expect("wild", 16_000); got < 1800 || got > 2600 {
 		t.Errorf("an inaccurate estimate of 16 s where all tasks take 2 s: %.0f ms", got)
