--- a/control/durationmodel.go
+++ b/control/durationmodel.go
@@ -61,7 +61,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, x := range list {
-		m.durations.Recall(x)
+		m.durations.Restore(x)
 	}
 }
 
--- a/dispatch/durations.go
+++ b/dispatch/durations.go
@@ -55,8 +55,8 @@
 	return out
 }
 
-// Recall restores the statistics of a queue, unless the queue already has some.
-func (d *Durations) Recall(l lessons.Duration) {
+// Restore restores the statistics of a queue, unless the queue already has some.
+func (d *Durations) Restore(l lessons.Duration) {
 	if d.queues[l.Queue] == nil {
 		d.queues[l.Queue] = &durationStats{n: l.N, actual: moments{l.Actual, l.ActualSquare}, estimateError: moments{l.Miss, l.MissSquare}}
 	}
