--- a/control/workers.go
+++ b/control/workers.go
@@ -96,10 +96,10 @@
 		d.stalledAt[st] = now
 	}
 	if req.Ailing {
-		d.health.NoteStuck(req.Worker, now)
+		d.health.RecordStuck(req.Worker, now)
 	}
 	for range req.Stuck {
-		d.health.NoteStuck(req.Worker, now)
+		d.health.RecordStuck(req.Worker, now)
 	}
 	for _, st := range req.Stuck {
 		d.stuckAt[st] = now
@@ -122,7 +122,7 @@
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.health.NoteEnd(worker, e.Outcome, e.WorkMS, expected, time.Now())
+	d.health.RecordEnd(worker, e.Outcome, e.WorkMS, expected, time.Now())
 }
 
 // watch returns a channel that is signalled when a worker's orders change.
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -55,9 +55,9 @@
 	return c
 }
 
-// NoteEnd records the end of a run. tookMS and expectedMS are 0 if they are not known. Outcomes
+// RecordEnd records the end of a run. tookMS and expectedMS are 0 if they are not known. Outcomes
 // other than done and failed are ignored.
-func (h *Health) NoteEnd(worker string, o jobs.Outcome, tookMS int64, expectedMS float64, now time.Time) {
+func (h *Health) RecordEnd(worker string, o jobs.Outcome, tookMS int64, expectedMS float64, now time.Time) {
 	if o != jobs.OutcomeDone && o != jobs.OutcomeFailed {
 		return
 	}
@@ -75,8 +75,8 @@
 	h.evaluate(c, now)
 }
 
-// NoteStuck records that a run on the worker makes no progress.
-func (h *Health) NoteStuck(worker string, now time.Time) {
+// RecordStuck records that a run on the worker makes no progress.
+func (h *Health) RecordStuck(worker string, now time.Time) {
 	c := h.healthOf(worker)
 	c.runs = math.Min(c.runs+1, healthWindow)
 	c.failedShare += (1 - c.failedShare) / c.runs
--- a/dispatch/health_test.go
+++ b/dispatch/health_test.go
@@ -12,8 +12,8 @@
 func TestFailingWorkerIsAvoided(t *testing.T) {
 	h, now := NewHealth(), time.Unix(0, 0)
 	for range 3 {
-		h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
-		h.NoteEnd("good", jobs.OutcomeDone, 100, 100, now)
+		h.RecordEnd("bad", jobs.OutcomeFailed, 0, 0, now)
+		h.RecordEnd("good", jobs.OutcomeDone, 100, 100, now)
 	}
 	if s := h.Avoided(5, now); !s["bad"] || s["good"] {
 		t.Fatalf("avoided workers: %v", s)
@@ -22,8 +22,8 @@
 		t.Error("the worker is not tried again after the pause")
 	}
 	now = now.Add(firstPause)
-	h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
-	h.NoteEnd("bad", jobs.OutcomeFailed, 0, 0, now)
+	h.RecordEnd("bad", jobs.OutcomeFailed, 0, 0, now)
+	h.RecordEnd("bad", jobs.OutcomeFailed, 0, 0, now)
 	if s := h.Avoided(5, now.Add(firstPause)); !s["bad"] {
 		t.Error("the second pause is no longer than the first")
 	}
@@ -38,21 +38,21 @@
 		if i%30 == 0 {
 			o = jobs.OutcomeFailed
 		}
-		h.NoteEnd("w", o, 100, 100, now)
+		h.RecordEnd("w", o, 100, 100, now)
 		if len(h.Avoided(5, now)) > 0 {
 			t.Fatalf("avoided after run %d", i)
 		}
 	}
 	for _, w := range []string{"a", "b", "c"} {
 		for range 3 {
-			h.NoteEnd(w, jobs.OutcomeFailed, 0, 0, now)
+			h.RecordEnd(w, jobs.OutcomeFailed, 0, 0, now)
 		}
 	}
 	if s := h.Avoided(5, now); len(s) > 0 {
 		t.Errorf("%d of 5 workers are avoided", len(s))
 	}
-	h.NoteEnd("lost", jobs.OutcomeLost, 0, 0, now)
-	h.NoteEnd("lost", jobs.OutcomeRejected, 0, 0, now)
+	h.RecordEnd("lost", jobs.OutcomeLost, 0, 0, now)
+	h.RecordEnd("lost", jobs.OutcomeRejected, 0, 0, now)
 	if h.workers["lost"] != nil {
 		t.Error("lost and rejected runs are counted")
 	}
@@ -61,8 +61,8 @@
 func TestSlowWorkersAreKnown(t *testing.T) {
 	h, now := NewHealth(), time.Unix(0, 0)
 	for range 4 {
-		h.NoteEnd("slow", jobs.OutcomeDone, 4000, 1000, now)
-		h.NoteEnd("fast", jobs.OutcomeDone, 700, 1000, now)
+		h.RecordEnd("slow", jobs.OutcomeDone, 4000, 1000, now)
+		h.RecordEnd("fast", jobs.OutcomeDone, 700, 1000, now)
 	}
 	if s := h.Slowness("slow"); s < 1 || s > 2 {
 		t.Errorf("slowness %v of a worker that takes four times as long", s)
