--- a/control/costs.go
+++ b/control/costs.go
@@ -85,7 +85,7 @@
 	for _, r := range req.Readings {
 		c.learn(req.Worker, r, now)
 	}
-	if c.pressures.KinRenewed() {
+	if c.pressures.SimilarityUpdated() {
 		c.pressures.Expected(func(serving, filling string, e interference.Estimate) { c.logEstimate(serving, filling, e) })
 	}
 	if c.without.Sharing {
--- a/interference/similarity.go
+++ b/interference/similarity.go
@@ -44,19 +44,19 @@
 	similar   map[imagePair]float64 // by two served images: the probability that they are similar
 	predicted map[imagePair]Estimate
 	age       int // observations since the last update
-	// updated is set by an update and cleared by KinRenewed.
+	// updated is set by an update and cleared by SimilarityUpdated.
 	updated bool
 }
 
-// KinRenewed reports whether the similarities were updated since its last call.
-func (p *Pressures) KinRenewed() bool {
+// SimilarityUpdated reports whether the similarities were updated since its last call.
+func (p *Pressures) SimilarityUpdated() bool {
 	updated := p.similarity.updated
 	p.similarity.updated = false
 	return updated
 }
 
-// Similarity returns the probability that two served images are similar, that is, that the same filling
-// images interfere with both. It is 1 for an image and itself.
+// Similarity returns the probability that two served images are similar, that is, that the same
+// filling images interfere with both. It is 1 for an image and itself.
 func (p *Pressures) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
