--- a/control/costs.go
+++ b/control/costs.go
@@ -86,7 +86,7 @@
 		c.learn(req.Worker, r, now)
 	}
 	if c.pressures.SimilarityUpdated() {
-		c.pressures.Expected(func(serving, filling string, e interference.Estimate) { c.logEstimate(serving, filling, e) })
+		c.pressures.EachPredicted(func(serving, filling string, e interference.Estimate) { c.logEstimate(serving, filling, e) })
 	}
 	if c.without.Sharing {
 		return nil, 0
--- a/interference/similarity.go
+++ b/interference/similarity.go
@@ -80,9 +80,9 @@
 	return Unseen()
 }
 
-// Expected calls f with the estimate of every pair that similar images predict, whether it was
+// EachPredicted calls f with the estimate of every pair that similar images predict, whether it was
 // observed or not.
-func (p *Pressures) Expected(f func(serving, filling string, e Estimate)) {
+func (p *Pressures) EachPredicted(f func(serving, filling string, e Estimate)) {
 	for pair := range p.similarity.predicted {
 		f(pair.serving, pair.filling, p.Of(pair.serving, pair.filling))
 	}
