--- a/interference/pressure.go
+++ b/interference/pressure.go
@@ -86,8 +86,8 @@
 	maxPressure = 0.5
 )
 
-// Unseen returns the prior estimate of a pair about which nothing is known.
-func Unseen() Estimate { return Estimate{Mean: priorMean, Var: square(priorDeviation)} }
+// PriorPressure returns the prior estimate of a pair about which nothing is known.
+func PriorPressure() Estimate { return Estimate{Mean: priorMean, Var: square(priorDeviation)} }
 
 // NewPressures returns an empty model.
 func NewPressures() *Pressures {
--- a/interference/pressure_test.go
+++ b/interference/pressure_test.go
@@ -56,7 +56,7 @@
 	if m := p.Of("watch", "light").Mean; m > 0.02 {
 		t.Errorf("pressure of the light image is estimated as %.3f", m)
 	}
-	if m := p.Of("watch", "never").Mean; math.Abs(m-Unseen().Mean) > 0.01 {
+	if m := p.Of("watch", "never").Mean; math.Abs(m-PriorPressure().Mean) > 0.01 {
 		t.Errorf("pressure of an unobserved pair is estimated as %.3f instead of the prior", m)
 	}
 }
--- a/interference/similarity.go
+++ b/interference/similarity.go
@@ -77,7 +77,7 @@
 	if p.similarity.typical.Var > 0 {
 		return p.similarity.typical
 	}
-	return Unseen()
+	return PriorPressure()
 }
 
 // EachPredicted calls f with the estimate of every pair that similar images predict, whether it was
@@ -132,7 +132,7 @@
 // typical returns the mean and variance over all pairs, with the prior counted as priorPairs
 // pairs.
 func (p *Pressures) typical() Estimate {
-	first := Unseen()
+	first := PriorPressure()
 	n, sum, squares := priorPairs*1.0, priorPairs*first.Mean, priorPairs*(first.Var+square(first.Mean))
 	for _, e := range p.sorted() {
 		n++
@@ -164,7 +164,7 @@
 // marginalDensity computes the density from all pairs and the prior. Each pair is smoothed by the
 // deviation between similar images.
 func (p *Pressures) marginalDensity() (out marginalDensity) {
-	first := Unseen()
+	first := PriorPressure()
 	pairs := p.sorted()
 	for i := range out {
 		at := (float64(i) + 0.5) * maxPressure / densityBins
--- a/interference/tracker_test.go
+++ b/interference/tracker_test.go
@@ -136,8 +136,8 @@
 	var tr Tracker
 	use := map[string]float64{"fresh": 8}
 	tr.Read(time.Unix(0, 0), 2, nil, known(0))
-	unseen := tr.Expect(0, use, func(string) Estimate { return Unseen() })
-	seen := tr.Expect(0, use, func(string) Estimate { return Estimate{Mean: Unseen().Mean, Var: Unseen().Var, Seen: 3} })
+	unseen := tr.Expect(0, use, func(string) Estimate { return PriorPressure() })
+	seen := tr.Expect(0, use, func(string) Estimate { return Estimate{Mean: PriorPressure().Mean, Var: PriorPressure().Var, Seen: 3} })
 	if unseen > seen-8*0.05 {
 		t.Errorf("expected headroom is %.2f beside an unobserved image and %.2f beside an observed one", unseen, seen)
 	}
--- a/runner/pacer.go
+++ b/runner/pacer.go
@@ -144,7 +144,7 @@
 		if c, known := p.costs[imagePair{serving, filling}]; known {
 			return interference.Estimate{Mean: c.Cost, Var: c.Var, Seen: c.Seen}
 		}
-		return interference.Unseen()
+		return interference.PriorPressure()
 	}
 }
 
