--- a/interference/forecast.go
+++ b/interference/forecast.go
@@ -51,15 +51,15 @@
 	return best
 }
 
-// Wave forecasts the own headroom of a serving group as a mean plus one sinusoid. The period is
-// shared by all serving groups, phase and amplitude belong to the group. For each period it keeps a
-// Kalman filter over the mean and the coefficients of cosine and sine. Before the phase is known it
-// forecasts the mean with the variance of the image.
+// HeadroomForecast forecasts the own headroom of a serving group as a mean plus one sinusoid. The
+// period is shared by all serving groups, phase and amplitude belong to the group. For each period
+// it keeps a Kalman filter over the mean and the coefficients of cosine and sine. Before the phase
+// is known it forecasts the mean with the variance of the image.
 //
 // The last reading and its trend predict little of the whole duration of a run: three seconds
-// ahead their error is as large as that of the mean. Wave does no I/O and is not safe for
-// concurrent use.
-type Wave struct {
+// ahead their error is as large as that of the mean. HeadroomForecast does no I/O and is not safe
+// for concurrent use.
+type HeadroomForecast struct {
 	start time.Time
 	last  time.Time
 	fits  [periodCount]fit
@@ -71,10 +71,10 @@
 	p [3][3]float64
 }
 
-// NewWave returns the forecast of a new serving group, given the mean and the variance of its
-// image's own headroom over all times.
-func NewWave(at time.Time, mean, variance float64) *Wave {
-	w := &Wave{start: at, last: at}
+// NewHeadroomForecast returns the forecast of a new serving group, given the mean and the variance
+// of its image's own headroom over all times.
+func NewHeadroomForecast(at time.Time, mean, variance float64) *HeadroomForecast {
+	w := &HeadroomForecast{start: at, last: at}
 	for i := range w.fits {
 		w.fits[i].x[0] = mean
 		w.fits[i].p[0][0] = square(groupMeanDeviation)
@@ -83,13 +83,13 @@
 	return w
 }
 
-func (w *Wave) basis(i int, at time.Time) [3]float64 {
+func (w *HeadroomForecast) basis(i int, at time.Time) [3]float64 {
 	s, c := math.Sincos(frequencies[i] * at.Sub(w.start).Seconds())
 	return [3]float64{1, c, s}
 }
 
 // Read takes in a reading of the own headroom and updates the shared evidence for the periods.
-func (w *Wave) Read(at time.Time, own float64, shared *Periods) {
+func (w *HeadroomForecast) Read(at time.Time, own float64, shared *Periods) {
 	drift := square(driftDeviation) * math.Max(0, at.Sub(w.last).Seconds())
 	w.last = at
 	for i := range w.fits {
@@ -129,9 +129,9 @@
 // forecastStep is the time between two points at which a forecast is evaluated.
 const forecastStep = 250 * time.Millisecond
 
-// Least returns the minimum of the forecast within a span, lowered by the given number of
+// Min returns the minimum of the forecast within a span, lowered by the given number of
 // standard deviations.
-func (w *Wave) Least(from time.Time, span time.Duration, deviations float64, shared *Periods) float64 {
+func (w *HeadroomForecast) Min(from time.Time, span time.Duration, deviations float64, shared *Periods) float64 {
 	i := shared.best()
 	least := math.Inf(1)
 	for at := time.Duration(0); at <= span; at += forecastStep {
--- a/interference/forecast_test.go
+++ b/interference/forecast_test.go
@@ -45,11 +45,11 @@
 // with the forecast and the true minimum of the headroom during the next run.
 func (w *forecaster) follow(own headroomFunc, from, to float64, f func(at, forecast, truth float64)) {
 	const readingNoise = 0.15
-	wave := NewWave(w.start.Add(seconds(from)), 2.5, 0.6)
+	wave := NewHeadroomForecast(w.start.Add(seconds(from)), 2.5, 0.6)
 	for s := from; s < to; s += readingGap {
 		at := w.start.Add(seconds(s))
 		wave.Read(at, own(s)+readingNoise*w.rng.NormFloat64(), &w.periods)
-		f(s, wave.Least(at, seconds(runTime), 0, &w.periods), own.least(s))
+		f(s, wave.Min(at, seconds(runTime), 0, &w.periods), own.least(s))
 	}
 }
 
@@ -92,7 +92,7 @@
 	var periods Periods
 	at := time.Unix(1000, 0)
 	const mean, deviation = 2.5, 0.8
-	got := NewWave(at, mean, square(deviation)).Least(at, seconds(runTime), 1, &periods)
+	got := NewHeadroomForecast(at, mean, square(deviation)).Min(at, seconds(runTime), 1, &periods)
 	if low := mean - deviation; math.Abs(got-low) > 0.3 {
 		t.Errorf("forecast is %.2f, the typical low is %.2f", got, low)
 	}
@@ -149,7 +149,7 @@
 func BenchmarkWaveRead(b *testing.B) {
 	var periods Periods
 	at := time.Unix(1000, 0)
-	w := NewWave(at, 2.5, 0.6)
+	w := NewHeadroomForecast(at, 2.5, 0.6)
 	for b.Loop() {
 		at = at.Add(500 * time.Millisecond)
 		w.Read(at, 2.4, &periods)
@@ -159,8 +159,8 @@
 func BenchmarkWaveLeast(b *testing.B) {
 	var periods Periods
 	at := time.Unix(1000, 0)
-	w := NewWave(at, 2.5, 0.6)
+	w := NewHeadroomForecast(at, 2.5, 0.6)
 	for b.Loop() {
-		w.Least(at, seconds(runTime), 0.7, &periods)
+		w.Min(at, seconds(runTime), 0.7, &periods)
 	}
 }
--- a/interference/model.go
+++ b/interference/model.go
@@ -7,7 +7,8 @@
 // most (a diagonal Kalman filter).
 //
 // For served images, Pressures learns how much headroom each filling image takes, Tracker follows
-// the headroom on one worker, and Wave forecasts the headroom that an image would have alone.
+// the headroom on one worker, and HeadroomForecast forecasts the headroom that an image would have
+// alone.
 package interference
 
 import (
