--- a/admission/gate.go
+++ b/admission/gate.go
@@ -1,5 +1,6 @@
-// Package admission decides which requests are passed to an upstream, and when. Gate is a pure state
-// machine: it is given arrivals and ends with their times and returns what is admitted or refused.
+// Package admission decides which requests are passed to an upstream, and when. Gate is a pure
+// state machine: it is given arrivals and ends with their times and returns what is admitted or
+// refused.
 package admission
 
 import (
@@ -157,9 +158,9 @@
 	return g.admitQueuedAt(now)
 }
 
-// Stray records that the caller of a request in progress has stopped waiting. The request keeps its
-// slot, since the upstream may still be running it.
-func (g *Gate) Stray() {
+// Orphan records that the caller of a request in progress has stopped waiting. The request keeps
+// its slot, since the upstream may still be running it.
+func (g *Gate) Orphan() {
 	g.used--
 	g.orphans++
 }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -54,7 +54,7 @@
 			case k == 8 && running > 0:
 				running--
 				orphans++
-				g.Stray()
+				g.Orphan()
 			case k == 9:
 				orphans = min(orphans, rng.Intn(2))
 				settle(g.Open(g.Slots(), running+orphans))
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -163,7 +163,7 @@
 	g.mu.Lock()
 	if c.err != nil && mayStillRun(c.err) {
 		orphanedRequests.Inc()
-		g.gate.Stray()
+		g.gate.Orphan()
 	} else {
 		wakeDecided(g.gate.Finish(took, time.Now()))
 	}
