--- a/entry/request.go
+++ b/entry/request.go
@@ -221,7 +221,7 @@
 // callFailed returns the verdict and the report for an error of the call to the agent.
 func callFailed(err error) (verdict, routing.Report) {
 	if header.NeverSent(err) {
-		return verdict{outcome: header.NotRun, code: refusal.SendFailed}, routing.Report{Free: -1, Unreached: err != fasthttp.ErrNoFreeConns}
+		return verdict{outcome: header.NotRun, code: refusal.SendFailed}, routing.Report{Free: -1, Unavailable: err != fasthttp.ErrNoFreeConns}
 	}
 	code := refusal.AnswerCut
 	if err == fasthttp.ErrTimeout {
@@ -247,7 +247,7 @@
 		x.copyAnswer()
 	case header.NotRun:
 		report.Failed = v.code == refusal.NoUpstream || v.code == refusal.Leaving
-		report.Unreached = v.code == refusal.Leaving
+		report.Unavailable = v.code == refusal.Leaving
 	default:
 		v.outcome, report.Failed = header.Unknown, v.code != refusal.DeadlinePassed
 		if v.code == "" {
--- a/routing/table.go
+++ b/routing/table.go
@@ -221,9 +221,9 @@
 type Report struct {
 	Free   int  // free slots afterwards, -1 if unknown
 	Failed bool // the agent or its upstream failed to serve the request
-	// Unreached is set if no connection to the agent could be made or the agent is leaving. It is
+	// Unavailable is set if no connection to the agent could be made or the agent is leaving. It is
 	// then excluded after this one failure.
-	Unreached bool
+	Unavailable bool
 }
 
 // Done records the outcome of a request at a chosen agent.
@@ -236,12 +236,12 @@
 	if r.Free >= 0 {
 		a.free = r.Free
 	}
-	if !r.Failed && !r.Unreached {
+	if !r.Failed && !r.Unavailable {
 		a.failures, a.ejection = 0, 0
 		return
 	}
 	a.failures++
-	if r.Unreached || a.failures >= ejectAfter {
+	if r.Unavailable || a.failures >= ejectAfter {
 		a.ejection = min(max(a.ejection*2, minEject), maxEject)
 		a.ejectedUntil = now.Add(a.ejection)
 	}
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -73,7 +73,7 @@
 func TestFailingAgentsAreAvoided(t *testing.T) {
 	tb, r := table(member("a", "dc1", 1, membership.Up), member("b", "dc1", 1, membership.Up))
 	rng := rand.New(rand.NewPCG(1, 1))
-	tb.Done(Choice{Agent: "a"}, Report{Free: -1, Unreached: true}, now)
+	tb.Done(Choice{Agent: "a"}, Report{Free: -1, Unavailable: true}, now)
 	for range 20 {
 		c, _ := tb.Pick(r, nil, now, rng)
 		if c.Agent != "b" {
