--- a/control/advisor.go
+++ b/control/advisor.go
@@ -121,7 +121,7 @@
 	for i := range wanted {
 		w := &wanted[i]
 		if q = r.table.Question(w.Step, w.Tasks, w.Workers, now); q != nil {
-			limit = time.Duration(w.Advice.TookMS(len(q.Workers)))*time.Millisecond + adviceSlack
+			limit = time.Duration(w.Advice.AnswerMS(len(q.Workers)))*time.Millisecond + adviceSlack
 			return q, limit, time.Duration(w.Advice.ValidMS) * time.Millisecond
 		}
 	}
--- a/dispatch/forecast.go
+++ b/dispatch/forecast.go
@@ -91,9 +91,9 @@
 		total[i] += ms
 		left[i] += remaining
 		if q.Advice != nil {
-			total[i] += q.Advice.TookMS(typicalAdviceWorkers)
+			total[i] += q.Advice.AnswerMS(typicalAdviceWorkers)
 			if open > placed {
-				left[i] += q.Advice.TookMS(typicalAdviceWorkers)
+				left[i] += q.Advice.AnswerMS(typicalAdviceWorkers)
 			}
 		}
 		chain, remainingChain = max(chain, total[i]), max(remainingChain, left[i])
--- a/queues/queues.go
+++ b/queues/queues.go
@@ -42,8 +42,8 @@
 	ValidMS int64 `msgpack:"v" json:"valid_ms"`
 }
 
-// TookMS returns the time that an answer about a number of workers takes, in milliseconds.
-func (a *Advice) TookMS(workers int) float64 { return a.DecisionMS + float64(workers)*a.PerWorkerMS }
+// AnswerMS returns the time that an answer about a number of workers takes, in milliseconds.
+func (a *Advice) AnswerMS(workers int) float64 { return a.DecisionMS + float64(workers)*a.PerWorkerMS }
 
 // Service is a pool of workers.
 type Service struct {
