--- a/queues/queues.go
+++ b/queues/queues.go
@@ -48,8 +48,8 @@
 // Service is a pool of workers.
 type Service struct {
 	Name string `msgpack:"n" json:"name"`
-	// Guards is set if the service's workers reject tasks that do not fit.
-	Guards bool `msgpack:"g" json:"guards"`
+	// RejectsOverload is set if the service's workers reject tasks that do not fit.
+	RejectsOverload bool `msgpack:"g" json:"guards"`
 	// Standby is set if the pool's machines are switched off and incur no cost.
 	Standby bool `msgpack:"b,omitempty" json:"standby,omitempty"`
 }
