--- a/control/jobs.go
+++ b/control/jobs.go
@@ -238,7 +238,7 @@
 		return nil // the proposal's refusal names the leader
 	}
 	r.machine.Read(func(s *State) {
-		if s.Jobs.Workers[w.ID] == nil && !s.Queues.Knows(w.Service) {
+		if s.Jobs.Workers[w.ID] == nil && !s.Queues.HasService(w.Service) {
 			err = refusal.New(refusal.UnknownService, "add the service to the configuration, or correct the worker", "no service %q is configured", w.Service)
 		}
 	})
--- a/queues/queues.go
+++ b/queues/queues.go
@@ -143,9 +143,9 @@
 	Config Config `msgpack:"c"`
 }
 
-// Knows reports whether the configuration lists a service. Before the first configuration it
+// HasService reports whether the configuration lists a service. Before the first configuration it
 // returns true for every name, since any of them may still be listed.
-func (s *State) Knows(service string) bool {
+func (s *State) HasService(service string) bool {
 	if s.Config.Version == 0 {
 		return true
 	}
