--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -221,7 +221,7 @@
 	if err := after.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if c := after.state.DataCentres.Of(testDataCentre); c.Phase != datacentre.Cordoned || c.Revision != 2 || c.SinceMS != 7 || len(c.Taken) != 1 {
+	if c := after.state.DataCentres.Of(testDataCentre); c.Phase != datacentre.Cordoned || c.Revision != 2 || c.SinceMS != 7 || len(c.Applied) != 1 {
 		t.Errorf("after the snapshot it is %+v", c)
 	}
 	if !after.state.Members.Members["a"].Cordoned || after.state.capacity("a").Schedulable {
--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -1,6 +1,6 @@
-// Package datacentre records which data centres operators have taken out of service for maintenance.
-// State is a pure state machine under the quorum's log: an order is acknowledged only after its
-// commit, and survives changes of the leader.
+// Package datacentre records which data centres operators have taken out of service for
+// maintenance. State is a pure state machine under the quorum's log: an order is acknowledged only
+// after its commit, and survives changes of the leader.
 package datacentre
 
 import (
@@ -82,7 +82,7 @@
 	// of that order, in milliseconds since 1970.
 	Order   string         `msgpack:"o,omitempty"`
 	SinceMS int64          `msgpack:"s,omitempty"`
-	Taken   []appliedOrder `msgpack:"t,omitempty"` // newest last
+	Applied []appliedOrder `msgpack:"t,omitempty"` // newest last
 }
 
 // maxApplied bounds the orders kept per data centre. An older one that is sent again is refused
@@ -129,8 +129,8 @@
 func (s *State) Apply(o Order, index uint64) (Answer, error) {
 	c := s.Of(o.Name)
 	if o.ID != "" {
-		if i := slices.IndexFunc(c.Taken, func(t appliedOrder) bool { return t.ID == o.ID }); i >= 0 {
-			return answerRepeated(c.Taken[i], o)
+		if i := slices.IndexFunc(c.Applied, func(t appliedOrder) bool { return t.ID == o.ID }); i >= 0 {
+			return answerRepeated(c.Applied[i], o)
 		}
 	}
 	switch {
@@ -163,8 +163,8 @@
 	}
 	c.Phase, c.Revision = o.Phase, index
 	if o.ID != "" {
-		kept := c.Taken[max(0, len(c.Taken)+1-maxApplied):]
-		c.Taken = append(slices.Clone(kept), appliedOrder{ID: o.ID, Phase: o.Phase, Revision: index})
+		kept := c.Applied[max(0, len(c.Applied)+1-maxApplied):]
+		c.Applied = append(slices.Clone(kept), appliedOrder{ID: o.ID, Phase: o.Phase, Revision: index})
 	}
 	return &c
 }
--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// An order without an ID is sent to several replicas until one answers. Copies that arrive after the
-// first one has taken effect must get the same answer.
+// An order without an ID is sent to several replicas until one answers. Copies that arrive after
+// the first one has taken effect must get the same answer.
 func TestCopiesOfAnOrderWithoutAnIDAreAcknowledged(t *testing.T) {
 	s := NewState()
 	for i := range 3 {
@@ -74,7 +74,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.Of("hall-a").Taken); n != maxApplied {
+	if n := len(s.Of("hall-a").Applied); n != maxApplied {
 		t.Errorf("%d orders are kept", n)
 	}
 	if _, err := s.Apply(Order{Name: "hall-a", Phase: Cordoned, ID: "0"}, 1000); !refusal.Is(err, refusal.Conflict) {
