--- a/control/apply_jobs.go
+++ b/control/apply_jobs.go
@@ -96,7 +96,7 @@
 	crash := r.Crash
 	if crash != nil {
 		old := s.Jobs.Workers[crash.Worker]
-		if (old != nil && old.Draining) || s.Waves.TookDown(crash.Worker) {
+		if (old != nil && old.Draining) || s.Waves.StoppedForUpkeep(crash.Worker) {
 			crash = nil
 		}
 	}
--- a/upkeep/state.go
+++ b/upkeep/state.go
@@ -111,8 +111,8 @@
 	return out
 }
 
-// Workers returns the workers noted in unfinished waves, ordered by the time of their machines' last
-// marks.
+// Workers returns the workers noted in unfinished waves, ordered by the time of their machines'
+// last marks.
 func (s *State) Workers() (out []string) {
 	var known []*Progress
 	for _, n := range s.numbers() {
@@ -130,8 +130,8 @@
 	return out
 }
 
-// TookDown reports whether a worker was stopped, or is about to be stopped, for an upkeep.
-func (s *State) TookDown(worker string) bool {
+// StoppedForUpkeep reports whether a worker was stopped, or is about to be stopped, for an upkeep.
+func (s *State) StoppedForUpkeep(worker string) bool {
 	for _, r := range s.Waves {
 		for i := range r.Machines {
 			if p := &r.Machines[i]; p.Worker == worker && p.Phase >= Ordered {
