--- a/control/waves.go
+++ b/control/waves.go
@@ -311,7 +311,7 @@
 	return v, err
 }
 
-func viewWave(x *upkeep.Running) WaveView {
+func viewWave(x *upkeep.WaveProgress) WaveView {
 	v := WaveView{Wave: x.Wave, Completed: x.Completed(), Phases: make(map[string]int)}
 	for i := range x.Machines {
 		v.Phases[x.Machines[i].Phase.String()]++
--- a/upkeep/next.go
+++ b/upkeep/next.go
@@ -70,7 +70,7 @@
 	return d
 }
 
-func (in *Input) planWave(r *Running, listed map[string]*Machine, d *Decision) {
+func (in *Input) planWave(r *WaveProgress, listed map[string]*Machine, d *Decision) {
 	active := r.active()
 	for i := range r.Machines {
 		p := &r.Machines[i]
@@ -114,7 +114,7 @@
 }
 
 // readyToStop reports whether a machine that is being emptied can go down.
-func (in *Input) readyToStop(r *Running, p *Progress) bool {
+func (in *Input) readyToStop(r *WaveProgress, p *Progress) bool {
 	if p.Worker == "" || in.Empty(p.Worker) {
 		return true
 	}
@@ -123,7 +123,7 @@
 
 // drainTime returns how long a machine may take to become empty without delaying the wave: its
 // share of the time left when it began, less the time for which it is down.
-func (in *Input) drainTime(r *Running, sinceMS int64) time.Duration {
+func (in *Input) drainTime(r *WaveProgress, sinceMS int64) time.Duration {
 	left := 0
 	for i := range r.Machines {
 		if r.Machines[i].Phase < Ordered {
--- a/upkeep/state.go
+++ b/upkeep/state.go
@@ -11,11 +11,11 @@
 
 // State holds all waves, by number.
 type State struct {
-	Waves map[uint64]*Running `msgpack:"w"`
+	Waves map[uint64]*WaveProgress `msgpack:"w"`
 }
 
 // NewState returns a state without waves.
-func NewState() *State { return &State{Waves: make(map[uint64]*Running)} }
+func NewState() *State { return &State{Waves: make(map[uint64]*WaveProgress)} }
 
 // maxWaves bounds the waves that are kept. Of the finished ones those with the lowest numbers are
 // dropped first.
@@ -30,7 +30,7 @@
 		}
 		return nil
 	}
-	r := &Running{Wave: w, StartedMS: nowMS}
+	r := &WaveProgress{Wave: w, StartedMS: nowMS}
 	for _, m := range w.Machines {
 		r.Machines = append(r.Machines, Progress{Machine: m, SinceMS: nowMS})
 	}
--- a/upkeep/types.go
+++ b/upkeep/types.go
@@ -1,8 +1,8 @@
-// Package upkeep manages the upkeep of the machines below the workers. Operators request waves: each
-// machine of a wave goes down once, within a time limit, and at most a given number of machines is
-// down at a time. State is a pure state machine under the quorum's log, and Next decides from a
-// snapshot without side effects. An order to a machine is committed before it is sent, so that a
-// new leader knows which orders may have been carried out.
+// Package upkeep manages the upkeep of the machines below the workers. Operators request waves:
+// each machine of a wave goes down once, within a time limit, and at most a given number of
+// machines is down at a time. State is a pure state machine under the quorum's log, and Next
+// decides from a snapshot without side effects. An order to a machine is committed before it is
+// sent, so that a new leader knows which orders may have been carried out.
 package upkeep
 
 import (
@@ -84,15 +84,15 @@
 	SinceMS int64 `msgpack:"s"`
 }
 
-// Running is a wave with its progress. It is kept after the wave has finished.
-type Running struct {
+// WaveProgress is a wave with its progress. It is kept after the wave has finished.
+type WaveProgress struct {
 	Wave      Wave       `msgpack:"w"`
 	StartedMS int64      `msgpack:"s"`
 	Machines  []Progress `msgpack:"m"`
 }
 
 // Completed reports whether the upkeep of every machine has begun.
-func (r *Running) Completed() bool {
+func (r *WaveProgress) Completed() bool {
 	for i := range r.Machines {
 		if r.Machines[i].Phase < Down {
 			return false
@@ -102,7 +102,7 @@
 }
 
 // finished reports whether every machine of the wave is back.
-func (r *Running) finished() bool {
+func (r *WaveProgress) finished() bool {
 	for i := range r.Machines {
 		if r.Machines[i].Phase < Back {
 			return false
@@ -113,7 +113,7 @@
 
 // active returns the number of machines that are down, may go down at any time, or are being
 // emptied.
-func (r *Running) active() int {
+func (r *WaveProgress) active() int {
 	n := 0
 	for i := range r.Machines {
 		if p := r.Machines[i].Phase; p > Waiting && p < Back {
@@ -123,7 +123,7 @@
 	return n
 }
 
-func (r *Running) find(machine string) *Progress {
+func (r *WaveProgress) find(machine string) *Progress {
 	i := slices.IndexFunc(r.Machines, func(p Progress) bool { return p.Machine == machine })
 	if i < 0 {
 		return nil
