--- a/runner/runner.go
+++ b/runner/runner.go
@@ -67,8 +67,8 @@
 	return &Runner{agent: agent, maxConfirmationAge: maxConfirmationAge, ctl: ctl, worker: observedWorker{w, c}, liveness: c, without: ablation.Linked(), changed: make(chan struct{}, 1)}
 }
 
-// Left handles a worker's announcement that it is ending.
-func (r *Runner) Left(worker string) {
+// WorkerEnding handles a worker's announcement that it is ending.
+func (r *Runner) WorkerEnding(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.newest == nil || r.newest.Worker != worker {
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -286,7 +286,7 @@
 		withBench(t, func(t *testing.T, b *bench) {
 			time.Sleep(time.Second)
 			if c.announced {
-				b.runner.Left("w1")
+				b.runner.WorkerEnding("w1")
 			}
 			b.worker.mu.Lock()
 			b.worker.connectErr = c.connectErr
