--- a/runner/announce.go
+++ b/runner/announce.go
@@ -39,13 +39,13 @@
 // than the newest known.
 var ErrStale = errors.New("a newer announcement is known")
 
-// ErrNotThere is returned for the announcement of an incarnation that is not at the worker's
-// address.
-var ErrNotThere = errors.New("another incarnation stands at the worker's address")
+// ErrOtherIncarnation is returned for the announcement of an incarnation that is not at the
+// worker's address.
+var ErrOtherIncarnation = errors.New("another incarnation stands at the worker's address")
 
-// ErrDoubted is returned for an announcement that contradicts the newest one. It is accepted
+// ErrContradictory is returned for an announcement that contradicts the newest one. It is accepted
 // once the next announcement agrees with it.
-var ErrDoubted = errors.New("the announcement contradicts an earlier one; send the next")
+var ErrContradictory = errors.New("the announcement contradicts an earlier one; send the next")
 
 // maxSequenceGap is the largest plausible difference in sequence between two successive
 // heartbeats, or between a delayed heartbeat and the newest one. With a heartbeat every 1.5 s
@@ -95,7 +95,7 @@
 	relation := a.relationTo(old)
 	if relation == contradicts && !r.confirmed(&a) {
 		r.mu.Unlock()
-		return ErrDoubted
+		return ErrContradictory
 	}
 	if relation == isStale {
 		r.mu.Unlock()
@@ -129,7 +129,7 @@
 		r.fenceEarly(a.Worker)
 	}
 	if old == nil && r.answersAsOther(a.Worker) {
-		return ErrNotThere
+		return ErrOtherIncarnation
 	}
 	r.mu.Lock()
 	if r.newest == old || r.newest == nil { // the previous session may have ended meanwhile
--- a/runner/announce_test.go
+++ b/runner/announce_test.go
@@ -20,10 +20,10 @@
 func TestForeignHeartbeatDoesNotMakeTheWorkersOwnStale(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		if err := b.heartbeat("vault", 1<<40, false); !errors.Is(err, ErrDoubted) {
+		if err := b.heartbeat("vault", 1<<40, false); !errors.Is(err, ErrContradictory) {
 			t.Errorf("a number far ahead got %v", err)
 		}
-		if err := b.heartbeat("elsewhere", b.seq+1, true); !errors.Is(err, ErrDoubted) {
+		if err := b.heartbeat("elsewhere", b.seq+1, true); !errors.Is(err, ErrContradictory) {
 			t.Errorf("another service got %v", err)
 		}
 		b.ctl.give(startOf(runA1))
@@ -49,7 +49,7 @@
 func TestTwoHeartbeatsThatAgreeAreAccepted(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		time.Sleep(time.Second)
-		for i, want := range []error{ErrDoubted, nil, nil} {
+		for i, want := range []error{ErrContradictory, nil, nil} {
 			if err := b.heartbeat("vault", 1<<40+uint64(i), i == 2); !errors.Is(err, want) {
 				t.Errorf("heartbeat %d after the jump got %v", i, err)
 			}
@@ -66,7 +66,7 @@
 	withBench(t, func(t *testing.T, b *bench) {
 		b.stop()
 		b.begin()
-		if err := b.runner.Announce(Announcement{Worker: "nobody", Service: "vault", Sequence: 1}); !errors.Is(err, ErrNotThere) {
+		if err := b.runner.Announce(Announcement{Worker: "nobody", Service: "vault", Sequence: 1}); !errors.Is(err, ErrOtherIncarnation) {
 			t.Errorf("a worker that isn't there got %v", err)
 		}
 		if err := b.announce("w1", false); err != nil {
