--- a/runner/announce.go
+++ b/runner/announce.go
@@ -17,9 +17,9 @@
 	Rack       string // one of the labels, "" if it is not known
 	Capacity   resource.Vector
 	Draining   bool
-	// OwnID says that no other start of the worker has its id, so that a call meant for
+	// UniqueID says that no other start of the worker has its id, so that a call meant for
 	// another start never reaches this one.
-	OwnID bool
+	UniqueID bool
 	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
 }
--- a/runner/fence.go
+++ b/runner/fence.go
@@ -120,7 +120,7 @@
 // at all, can be refused there: a higher token is in reserve. Without one, nothing could fence
 // the successor while the control is unreachable.
 func (s *session) canFence(token uint64) bool {
-	return s.announced().OwnID || s.r.tokens.reserved() > token
+	return s.announced().UniqueID || s.r.tokens.reserved() > token
 }
 
 // maintainReserve keeps a token in reserve.
@@ -194,7 +194,7 @@
 	}
 	s.initial.Finished = nil
 	a, ok := s.commit(s.previous, batch)
-	if ok && a.OvertakenMS > 0 && s.lastRegistered != s.worker && !s.announced().OwnID {
+	if ok && a.OvertakenMS > 0 && s.lastRegistered != s.worker && !s.announced().UniqueID {
 		ok = s.awaitLeaseExpiry(time.Duration(a.OvertakenMS) * time.Millisecond)
 	}
 	return ok
--- a/runner/guard.go
+++ b/runner/guard.go
@@ -33,7 +33,7 @@
 // fenced by it or by the next session.
 func (s *session) guard(ctx context.Context) {
 	defer s.guardDone.Store(true)
-	if s.announced().OwnID {
+	if s.announced().UniqueID {
 		return
 	}
 	calls := make(chan struct{}, maxGuardCalls)
--- a/runner/register.go
+++ b/runner/register.go
@@ -35,7 +35,7 @@
 	a := s.announced()
 	w := control.Registration{Crash: s.r.crash, Update: s.registered.Load() != 0, Worker: jobs.Worker{ID: a.Worker, Agent: s.r.agent, Service: a.Service, DataCentre: a.DataCentre,
 		Labels: a.Labels, Rack: a.Rack, Capacity: a.Capacity, Token: s.token.Load(), Session: s.id, Draining: a.Draining,
-		LateLease: !a.OwnID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
+		LateLease: !a.UniqueID && !s.r.lateLeaseExpired(a.Worker, time.Now())}}
 	var done control.Registered
 	if err := s.r.ctl.Call(control.PathRegister, controlTimeout, &w, &done); err != nil {
 		return err
