--- a/runner/run.go
+++ b/runner/run.go
@@ -209,8 +209,8 @@
 	}
 	if !s.claim(r) {
 		logrus.WithFields(logrus.Fields{"task": r.key.task.String(), "run": r.key.run}).Info("runner: A run does not fit the worker's last announced capacity.")
-		countVerdict("room", VerdictNoRoom)
-		r.handleRejection(VerdictNoRoom)
+		countVerdict("room", VerdictNoCapacity)
+		r.handleRejection(VerdictNoCapacity)
 		return
 	}
 	o := r.markSent(time.Now())
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -154,7 +154,7 @@
 // stopped before it is reported as never started.
 func TestUnansweredStartIsStoppedBeforeItIsRejected(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
-		b.worker.fail(1, VerdictNoRoom)
+		b.worker.fail(1, VerdictNoCapacity)
 		b.ctl.give(startOf(runA1))
 		time.Sleep(time.Second)
 		b.wantEnd(runA1, jobs.OutcomeRejected)
