--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -222,7 +222,7 @@
 	}
 	out := HoldReply{Reply: Reply{ClockMS: w.clock()}, Finished: append([]FinishedRun(nil), w.finished...)}
 	for key := range w.running {
-		out.Running = append(out.Running, RunningRun{Task: key.task, Run: key.run, Percent: 100, Figure: w.figures[key.task.Job]})
+		out.Running = append(out.Running, RunningRun{Task: key.task, Run: key.run, Percent: 100, Measured: w.figures[key.task.Job]})
 	}
 	return out, nil
 }
--- a/runner/pace.go
+++ b/runner/pace.go
@@ -70,7 +70,7 @@
 	rows := make([]string, 0, len(running))
 	for _, x := range running {
 		if o, ok := s.lookup(x.Task, x.Run); ok {
-			rows = append(rows, fmt.Sprintf("%s image=%s target=%d percent=%d figure=%.0f fills=%v need=%d", x.Task, o.Image, o.TargetMS, x.Percent, x.Figure, o.Fills, o.MilliCPU))
+			rows = append(rows, fmt.Sprintf("%s image=%s target=%d percent=%d figure=%.0f fills=%v need=%d", x.Task, o.Image, o.TargetMS, x.Percent, x.Measured, o.Fills, o.MilliCPU))
 		}
 	}
 	logrus.WithField("runs", rows).Debug("runner: Read the worker's runs.")
--- a/runner/pacer_test.go
+++ b/runner/pacer_test.go
@@ -80,9 +80,9 @@
 	if tail > 50 {
 		s.over += d
 	}
-	running := []RunningRun{{Task: jobs.Ref{Job: "watch"}, Run: 1, Figure: tail}}
+	running := []RunningRun{{Task: jobs.Ref{Job: "watch"}, Run: 1, Measured: tail}}
 	for _, image := range s.renders {
-		running = append(running, RunningRun{Task: jobs.Ref{Job: image}, Run: 1, Figure: s.use(image) * milliPerProcessor})
+		running = append(running, RunningRun{Task: jobs.Ref{Job: image}, Run: 1, Measured: s.use(image) * milliPerProcessor})
 	}
 	s.apply(s.p.next(s.now, running, s.lookup))
 }
@@ -236,8 +236,8 @@
 	for range 4 {
 		s.now = s.now.Add(readingInterval)
 		s.apply(s.p.next(s.now, []RunningRun{
-			{Task: jobs.Ref{Job: "watch"}, Run: 1, Figure: 15}, {Task: jobs.Ref{Job: "watch", Index: 1}, Run: 1, Figure: 15},
-			{Task: jobs.Ref{Job: "other"}, Run: 1, Figure: 70}, {Task: jobs.Ref{Job: "heavy"}, Run: 1, Figure: s.use("heavy") * milliPerProcessor}}, s.lookup))
+			{Task: jobs.Ref{Job: "watch"}, Run: 1, Measured: 15}, {Task: jobs.Ref{Job: "watch", Index: 1}, Run: 1, Measured: 15},
+			{Task: jobs.Ref{Job: "other"}, Run: 1, Measured: 70}, {Task: jobs.Ref{Job: "heavy"}, Run: 1, Measured: s.use("heavy") * milliPerProcessor}}, s.lookup))
 	}
 	if s.pace["heavy"] > 0 {
 		t.Errorf("its pace is %d", s.pace["heavy"])
--- a/runner/scan.go
+++ b/runner/scan.go
@@ -44,9 +44,9 @@
 		o, ok := lookup(x.Task, x.Run)
 		switch {
 		case !ok:
-		case o.TargetMS > 0 && x.Figure > 0:
+		case o.TargetMS > 0 && x.Measured > 0:
 			g := servingGroup{o.Image, x.Task.Job}
-			sc.serving[g] = served{append(sc.serving[g].tails, x.Figure), o.TargetMS}
+			sc.serving[g] = served{append(sc.serving[g].tails, x.Measured), o.TargetMS}
 		case o.Fills:
 			sc.add(x, o)
 		}
@@ -58,7 +58,7 @@
 func (sc *scan) add(x RunningRun, o jobs.Order) {
 	sc.filling = append(sc.filling, x)
 	sc.images[runKey{x.Task, x.Run}] = o.Image
-	sc.use[o.Image] += x.Figure / milliPerProcessor
+	sc.use[o.Image] += x.Measured / milliPerProcessor
 	sc.full[o.Image] += float64(o.MilliCPU) / milliPerProcessor
 }
 
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -123,9 +123,9 @@
 	Checkpoint string `json:"checkpoint,omitempty"`
 	// Percent is how much of its work is done, and 100 for a standing run that is at work.
 	Percent int `json:"percent"`
-	// Figure is the tail latency of a serving run over the last half second, in ms, and for
+	// Measured is the tail latency of a serving run over the last half second, in ms, and for
 	// any other run the processors in use, in thousandths.
-	Figure float64 `json:"figure"`
+	Measured float64 `json:"figure"`
 }
 
 // FinishedRun is the end of a run that is not acknowledged yet.
