--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -131,8 +131,8 @@
 	// Stalled holds filling runs that have been kept at a low pace for so long that they should
 	// move to another worker.
 	Stalled []jobs.Stop `msgpack:"s,omitempty"`
-	// Ailing reports that tail latencies are too long even without filling work.
-	Ailing bool `msgpack:"i,omitempty"`
+	// Degraded reports that tail latencies are too long even without filling work.
+	Degraded bool `msgpack:"i,omitempty"`
 	// Stuck holds runs that make no progress at full pace.
 	Stuck []jobs.Stop `msgpack:"k,omitempty"`
 }
--- a/control/workers.go
+++ b/control/workers.go
@@ -95,7 +95,7 @@
 	for _, st := range req.Stalled {
 		d.stalledAt[st] = now
 	}
-	if req.Ailing {
+	if req.Degraded {
 		d.health.RecordStuck(req.Worker, now)
 	}
 	for range req.Stuck {
--- a/runner/grant.go
+++ b/runner/grant.go
@@ -13,7 +13,7 @@
 	req := control.LeaseRequest{WorkerRef: s.ref(), WallMS: time.Now().UnixMilli()}
 	req.Readings, req.Stalled = s.pacer.report(time.Now(), s.fillingImages)
 	req.Stuck = s.progress.stuck(time.Now())
-	req.Ailing = s.pacer.isDegraded()
+	req.Degraded = s.pacer.isDegraded()
 	req.PairsSeen = s.pairsRevision.Load()
 	if s.sendKnown.Load() {
 		req.Known = s.pacer.known()
