--- a/control/costs.go
+++ b/control/costs.go
@@ -78,7 +78,7 @@
 func (c *costs) observe(req *LeaseRequest, now time.Time) ([]PairCost, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range req.Known {
+	for _, k := range req.KnownPairs {
 		c.pressures.Hint(k.Serving, k.Filling, interference.Estimate{Mean: k.Cost, Var: k.Var, Seen: k.Seen})
 		c.logPair(k.Serving, k.Filling)
 	}
--- a/control/costs_test.go
+++ b/control/costs_test.go
@@ -107,7 +107,7 @@
 	now := reportFillers(old, "w1", "heavy", 0.15, 0, 8, 0, 8)
 	pairs := report(old, "w1", now, Reading{Image: "watch", Job: "a", AtMS: 9000, Headroom: 2, Own: 3, Fillers: map[string]float64{"heavy": 8}})
 	fresh := newCosts(ablation.Set{})
-	fresh.observe(&LeaseRequest{WorkerRef: WorkerRef{Worker: "w1"}, Known: pairs}, now)
+	fresh.observe(&LeaseRequest{WorkerRef: WorkerRef{Worker: "w1"}, KnownPairs: pairs}, now)
 	if got, want := fresh.at(now).Cost("watch", "heavy"), old.at(now).Cost("watch", "heavy"); got != want {
 		t.Errorf("the new leader assumes %.3f, the old one %.3f", got, want)
 	}
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -123,9 +123,9 @@
 	// of many, so that a single clock that jumps does not move due times.
 	WallMS   int64     `msgpack:"c"`
 	Readings []Reading `msgpack:"r,omitempty"`
-	// Known holds the pair costs from earlier answers. It is sent to a leader that is new to the
+	// KnownPairs holds the pair costs from earlier answers. It is sent to a leader that is new to the
 	// agent and has lost what the previous one learned.
-	Known []PairCost `msgpack:"o,omitempty"`
+	KnownPairs []PairCost `msgpack:"o,omitempty"`
 	// PairsSeen is the last revision of pairs received from this leader, 0 if none.
 	PairsSeen uint64 `msgpack:"p,omitempty"`
 	// Stalled holds filling runs that have been kept at a low pace for so long that they should
--- a/runner/grant.go
+++ b/runner/grant.go
@@ -16,7 +16,7 @@
 	req.Degraded = s.pacer.isDegraded()
 	req.PairsSeen = s.pairsRevision.Load()
 	if s.sendKnown.Load() {
-		req.Known = s.pacer.known()
+		req.KnownPairs = s.pacer.known()
 	}
 	asked := clock.Now()
 	var a control.LeaseAnswer
