--- a/control/jobs.go
+++ b/control/jobs.go
@@ -284,7 +284,7 @@
 	logLateEnds(req.Worker, res.late)
 	r.dispatcher.handleEnds(req, arrived)
 	if res.overtaken > 0 {
-		a.OvertakenMS = r.longestLease().Milliseconds()
+		a.MaxLeaseMS = r.longestLease().Milliseconds()
 	}
 	return a, nil
 }
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -186,11 +186,11 @@
 
 // EndsAnswer confirms that ends are committed.
 type EndsAnswer struct {
-	// OvertakenMS is set if a run has finished whose task has been ordered again. It is the
+	// MaxLeaseMS is set if a run has finished whose task has been ordered again. It is the
 	// longest time that a worker's lease can continue. The agent acknowledges the end only after
 	// the worker's lease has lapsed since the end; otherwise a task could be started after its
 	// end.
-	OvertakenMS int64 `msgpack:"o,omitempty"`
+	MaxLeaseMS int64 `msgpack:"o,omitempty"`
 }
 
 // StartWave starts a wave of upkeep; AtMS is when the leader received it.
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -552,7 +552,7 @@
 		}
 		c.endedWorkers = append(c.endedWorkers, q.Worker)
 	case *control.RunEnds:
-		resp.(*control.EndsAnswer).OvertakenMS = c.overtakenMS
+		resp.(*control.EndsAnswer).MaxLeaseMS = c.overtakenMS
 		for _, e := range q.Ends {
 			c.ends = append(c.ends, e)
 			if key := (runKey{e.Task, e.Run}); c.endsOf[key] == "" {
--- a/runner/fence.go
+++ b/runner/fence.go
@@ -194,8 +194,8 @@
 	}
 	s.initial.Finished = nil
 	a, ok := s.commit(s.previous, batch)
-	if ok && a.OvertakenMS > 0 && s.lastRegistered != s.worker && !s.announced().UniqueID {
-		ok = s.awaitLeaseExpiry(time.Duration(a.OvertakenMS) * time.Millisecond)
+	if ok && a.MaxLeaseMS > 0 && s.lastRegistered != s.worker && !s.announced().UniqueID {
+		ok = s.awaitLeaseExpiry(time.Duration(a.MaxLeaseMS) * time.Millisecond)
 	}
 	return ok
 }
