--- a/control/apply_jobs.go
+++ b/control/apply_jobs.go
@@ -39,7 +39,7 @@
 	case c.Register != nil:
 		return s.register(c.Register, index)
 	case c.Fence != nil:
-		a := FenceAnswer{Token: index, Last: s.Jobs.LastWorkers[c.Fence.Agent]}
+		a := FenceAnswer{Token: index, LastWorker: s.Jobs.LastWorkers[c.Fence.Agent]}
 		if w := s.Jobs.WorkerOf(c.Fence.Agent); w != nil {
 			a.Worker = w.ID
 		}
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -84,8 +84,8 @@
 type FenceAnswer struct {
 	Token  uint64 `msgpack:"t"`
 	Worker string `msgpack:"w,omitempty"`
-	// Last is the worker that the agent registered last, even if it was lost since.
-	Last string `msgpack:"l,omitempty"`
+	// LastWorker is the worker that the agent registered last, even if it was lost since.
+	LastWorker string `msgpack:"l,omitempty"`
 }
 
 // Registration announces a worker. Its token is one that was issued to the agent and that the
--- a/runner/fence.go
+++ b/runner/fence.go
@@ -98,7 +98,7 @@
 		a, err := s.r.newToken(s.announced())
 		if err == nil {
 			s.setToken(a.Token)
-			s.previous, s.lastRegistered = a.Worker, a.Last
+			s.previous, s.lastRegistered = a.Worker, a.LastWorker
 			return true
 		}
 		if s.unknownService(err) {
