--- a/agent/ledger_test.go
+++ b/agent/ledger_test.go
@@ -62,7 +62,7 @@
 	}
 	m := newMeter()
 	m.recordEnds(ends, l.Cordoned())
-	if m.usage.TaskBad != 0 {
+	if m.usage.TasksFailed != 0 {
 		t.Error("the rejection counts as a failure")
 	}
 }
--- a/agent/measure.go
+++ b/agent/measure.go
@@ -59,9 +59,9 @@
 		m.counted[ref] = true
 		switch {
 		case e.Outcome == lease.OutcomeDone:
-			m.usage.TaskEnd++
+			m.usage.TasksEnded++
 		case e.Outcome == lease.OutcomeFailed, e.Outcome == lease.OutcomeRejected && !cordoned:
-			m.usage.TaskBad++
+			m.usage.TasksFailed++
 		}
 	}
 	if len(ends) == 0 {
--- a/control/messages.go
+++ b/control/messages.go
@@ -48,14 +48,14 @@
 
 // Usage is a measurement of one worker, with the jobs that shared it at that time.
 type Usage struct {
-	Seq     uint64         `msgpack:"q"` // increases with each new measurement
-	Load    float64        `msgpack:"l"` // fraction of the slots in use
-	P99     float64        `msgpack:"p"` // milliseconds, 0 when not measured
-	Jobs    map[string]int `msgpack:"j,omitempty"`
-	Done    uint64         `msgpack:"o"` // requests since the agent's start
-	Failed  uint64         `msgpack:"f"`
-	TaskEnd uint64         `msgpack:"t"` // attempts ended since the agent's start
-	TaskBad uint64         `msgpack:"b"`
+	Seq         uint64         `msgpack:"q"` // increases with each new measurement
+	Load        float64        `msgpack:"l"` // fraction of the slots in use
+	P99         float64        `msgpack:"p"` // milliseconds, 0 when not measured
+	Jobs        map[string]int `msgpack:"j,omitempty"`
+	Done        uint64         `msgpack:"o"` // requests since the agent's start
+	Failed      uint64         `msgpack:"f"`
+	TasksEnded  uint64         `msgpack:"t"` // attempts ended since the agent's start
+	TasksFailed uint64         `msgpack:"b"`
 }
 
 // RenewAnswer grants the lease. Its term counts, on the agent's clock, from before the renewal
