--- a/control/client.go
+++ b/control/client.go
@@ -63,10 +63,10 @@
 	return not
 }
 
-// SetPatience bounds how long refusals that certainly had no effect are retried, so that the
+// SetRetryLimit bounds how long refusals that certainly had no effect are retried, so that the
 // caller gets a definite answer early and can retry itself. By default they are retried until the
 // call's timeout.
-func (c *Client) SetPatience(d time.Duration) { c.retryLimit = d }
+func (c *Client) SetRetryLimit(d time.Duration) { c.retryLimit = d }
 
 // Call sends a message until a replica answers it or the timeout has passed. It retries
 // only refusals that another replica or a later try may resolve. A message may be applied twice
--- a/control/client_test.go
+++ b/control/client_test.go
@@ -37,7 +37,7 @@
 // sent; otherwise it cannot retry by itself.
 func TestUnsentCallFailsEarlyAsNotSent(t *testing.T) {
 	c := clientOf("127.0.8.11:7880", "127.0.8.12:7880")
-	c.SetPatience(100 * time.Millisecond)
+	c.SetRetryLimit(100 * time.Millisecond)
 	begun := time.Now()
 	err := c.Call(PathPutConfig, 30*time.Second, &Empty{}, nil)
 	if !refusal.Is(err, refusal.SendFailed) {
@@ -60,7 +60,7 @@
 	})
 	serve(t, "127.0.8.22:7880", func() error { return refusal.New(refusal.NoQuorum, "", "no leader") })
 	c := clientOf("127.0.8.21:7880", "127.0.8.22:7880")
-	c.SetPatience(50 * time.Millisecond)
+	c.SetRetryLimit(50 * time.Millisecond)
 	err := c.Call(PathPutConfig, time.Second, &Empty{}, nil)
 	// On a busy machine the last try may itself time out, which leaves the outcome open as well.
 	if !refusal.Is(err, refusal.UnknownOutcome) && !refusal.Is(err, refusal.Unreachable) {
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -42,7 +42,7 @@
 	}
 	rpc := transport.NewClient(tlsConfig, set.Instance.IP)
 	ctl := control.NewClient(part, rpc, set.Contacts, rand.IntN(len(set.Contacts())))
-	ctl.SetPatience(retryFor)
+	ctl.SetRetryLimit(retryFor)
 	return &Jobs{ctl: ctl, started: time.Now()}, nil
 }
 
