--- a/control/waves.go
+++ b/control/waves.go
@@ -49,7 +49,7 @@
 	MachineBusy                           // not up, or about to go down by itself
 	MachineNotAsked                       // not a machine of that wave
 	MachineUnknown                        // there is no such machine
-	MachineLater                          // too many calls, or the platform is temporarily unavailable
+	MachineRetry                          // too many calls, or the platform is temporarily unavailable
 )
 
 var machineVerdicts = [...]string{"done", "fenced", "busy", "not-asked", "unknown", "later"}
