--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -41,7 +41,7 @@
 func (m *replicaSetMonitor) observe(st quorum.Status, must int, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	spare := st.Spare()
+	spare := st.MajorityMargin()
 	if st.Role != quorum.Leader || spare >= must {
 		m.end(st.Role == quorum.Leader)
 		return
--- a/quorum/repair.go
+++ b/quorum/repair.go
@@ -146,7 +146,8 @@
 	return next, ok && next.MajorityMargin(st.recentlyActive) >= tolerance
 }
 
-// unresponsiveWithoutSuccessor returns an unresponsive voter whose host has not returned as a learner.
+// unresponsiveWithoutSuccessor returns an unresponsive voter whose host has not returned as a
+// learner.
 func unresponsiveWithoutSuccessor(st Status) (uint64, bool) {
 	for _, id := range st.Unresponsive {
 		v, _ := find(st.Config.Voters, id)
@@ -178,9 +179,9 @@
 
 func sameHost(a, b Replica) bool { return a.Name == b.Name || a.Address == b.Address }
 
-// Spare returns, at a leader, how many more voters may be lost before the responsive ones are no
-// majority.
-func (s Status) Spare() int { return s.Config.MajorityMargin(s.recentlyActive) }
+// MajorityMargin returns, at a leader, how many more voters may be lost before the responsive ones
+// are no majority.
+func (s Status) MajorityMargin() int { return s.Config.MajorityMargin(s.recentlyActive) }
 
 // recentlyActive reports whether a replica responds to the leader that returned this status.
 func (s Status) recentlyActive(id uint64) bool {
@@ -188,8 +189,8 @@
 	return ok || id == s.ID
 }
 
-// CaughtUp reports whether a learner responds and lacks at most catchUpSlack entries. One that never
-// responded must not become a voter: it could cost the leader its majority.
+// CaughtUp reports whether a learner responds and lacks at most catchUpSlack entries. One that
+// never responded must not become a voter: it could cost the leader its majority.
 func (s Status) CaughtUp(learner Replica) bool {
 	match, responded := s.Match[learner.ID]
 	return responded && match+catchUpSlack >= s.Last
