--- a/control/replica.go
+++ b/control/replica.go
@@ -139,8 +139,8 @@
 
 func (r *Replica) logStart() {
 	st := r.disk.Stored()
-	if st.Cut > 0 {
-		logrus.Warnf("control: Truncated a torn log tail of %d bytes that was never acknowledged.", st.Cut)
+	if st.TornBytes > 0 {
+		logrus.Warnf("control: Truncated a torn log tail of %d bytes that was never acknowledged.", st.TornBytes)
 	}
 	logrus.WithFields(logrus.Fields{"id": st.ID, "address": r.self.Address, "snapshot": st.Snapshot.Index, "entries": len(st.Entries)}).
 		Info("control: Replica started.")
--- a/quorum/disk.go
+++ b/quorum/disk.go
@@ -60,8 +60,8 @@
 	Hard     HardState
 	Snapshot Snapshot
 	Entries  []Entry
-	// Cut is the length of an incomplete tail of the log that was truncated.
-	Cut int64
+	// TornBytes is the length of an incomplete tail of the log that was truncated.
+	TornBytes int64
 }
 
 // OpenDisk opens a data folder, creating it if needed. An empty folder gets a random identity.
@@ -209,7 +209,7 @@
 
 // resumeWAL truncates a log file after its last valid record and continues to write there.
 func (d *Disk) resumeWAL(f *os.File, good, size int64) error {
-	d.state.Cut = size - good
+	d.state.TornBytes = size - good
 	if err := f.Truncate(good); err != nil {
 		return Error.Wrap(err)
 	}
