--- a/control/links_test.go
+++ b/control/links_test.go
@@ -118,13 +118,13 @@
 		follower := g.nodes[(leader+1)%groupSize]
 		const tolerance = 200 * time.Millisecond // more than a heartbeat interval plus the delay
 		g.await("the follower hears the leader", func() bool { return follower.View().Leader.ID == uint64(leader+1) })
-		if heard := follower.LeaderHeard(); heard > tolerance {
+		if heard := follower.SinceLeaderContact(); heard > tolerance {
 			t.Errorf("heard %v ago from a reachable leader", heard)
 		}
 		g.net.Isolate(g.ip(leader), true)
 		const partition = 400 * time.Millisecond // less than an election timeout
 		time.Sleep(partition)
-		if heard := follower.LeaderHeard(); heard < partition-tolerance || heard > partition+tolerance {
+		if heard := follower.SinceLeaderContact(); heard < partition-tolerance || heard > partition+tolerance {
 			t.Errorf("heard %v ago from a leader that was partitioned %v ago", heard, partition)
 		}
 		g.stop()
--- a/quorum/calls.go
+++ b/quorum/calls.go
@@ -27,9 +27,9 @@
 // View returns the latest view.
 func (n *Node) View() View { return *n.view.Load() }
 
-// LeaderHeard returns the time since the last message from the leader of the view, at a replica
-// that does not lead.
-func (n *Node) LeaderHeard() time.Duration {
+// SinceLeaderContact returns the time since the last message from the leader of the view, at a
+// replica that does not lead.
+func (n *Node) SinceLeaderContact() time.Duration {
 	return time.Since(n.startedAt) - time.Duration(n.leaderHeardAt.Load())
 }
 
