--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -92,8 +92,8 @@
 		}
 		why = append(why, fmt.Sprintf("%s has %d of %d entries", l.Name, st.Match[l.ID], st.Last))
 	}
-	if n := len(st.Config.Voters); n < quorum.FullSize(must) {
-		why = append(why, fmt.Sprintf("%d voters of %d", n, quorum.FullSize(must)))
+	if n := len(st.Config.Voters); n < quorum.VotersFor(must) {
+		why = append(why, fmt.Sprintf("%d voters of %d", n, quorum.VotersFor(must)))
 	}
 	return strings.Join(why, "; ")
 }
--- a/quorum/repair.go
+++ b/quorum/repair.go
@@ -64,10 +64,10 @@
 	return n.senders[id]
 }
 
-// FullSize returns the number of voters of a set that must tolerate the loss of tolerance voters.
+// VotersFor returns the number of voters of a set that must tolerate the loss of tolerance voters.
 // More voters would exceed the required tolerance, and each costs one more copy of every commit, so
 // further replicas are spares.
-func FullSize(tolerance int) int { return 2*tolerance + 1 }
+func VotersFor(tolerance int) int { return 2*tolerance + 1 }
 
 // repairStep records details that members have sent about themselves, or else takes the next step
 // of the repair.
@@ -108,7 +108,7 @@
 // addVoter promotes the best spare while the set is below its full size.
 func addVoter(st Status, tolerance int) (Config, bool) {
 	l, ok := bestSpare(st)
-	if !ok || len(st.Config.Voters) >= FullSize(tolerance) {
+	if !ok || len(st.Config.Voters) >= VotersFor(tolerance) {
 		return Config{}, false
 	}
 	return st.Config.WithVoter(l), true
@@ -134,13 +134,13 @@
 // as a learner; a responsive one stays as a spare.
 func removeSurplusVoter(st Status, tolerance int) (Config, bool) {
 	n := len(st.Config.Voters)
-	if n <= FullSize(tolerance) && n%2 != 0 {
+	if n <= VotersFor(tolerance) && n%2 != 0 {
 		return Config{}, false
 	}
 	next, ok := Config{}, false
 	if id, found := unresponsiveWithoutSuccessor(st); found {
 		next, ok = st.Config.Without(id), true
-	} else if id := voterToDemote(st); n > FullSize(tolerance) && id != 0 {
+	} else if id := voterToDemote(st); n > VotersFor(tolerance) && id != 0 {
 		next, ok = st.Config.Demoting(id), true
 	}
 	return next, ok && next.MajorityMargin(st.recentlyActive) >= tolerance
--- a/quorum/repair_test.go
+++ b/quorum/repair_test.go
@@ -437,7 +437,7 @@
 		st.Config = next
 		st.Unresponsive = slices.DeleteFunc(st.Unresponsive, func(id uint64) bool { return !next.IsVoter(id) })
 	}
-	full := len(st.Config.Voters) == FullSize(tolerance)
+	full := len(st.Config.Voters) == VotersFor(tolerance)
 	for _, l := range st.Config.Learners {
 		if st.CaughtUp(l) && (!full || len(st.Unresponsive) > 0) {
 			t.Errorf("%v: %d has caught up but is no voter, although %v are unresponsive: %+v", states, l.ID, st.Unresponsive, st.Config)
