--- a/cmd/waxwinghaven/market.go
+++ b/cmd/waxwinghaven/market.go
@@ -89,7 +89,7 @@
 			if v.Retired {
 				name += " (retired)"
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%s\n", name, v.Revision, v.Preset().Name, len(v.Services), len(v.Jobs), len(v.Presets), v.Winner)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%s\n", name, v.Revision, v.Preset().Name, len(v.Services), len(v.Jobs), len(v.Presets), v.LastChange)
 		}
 	})
 }
--- a/control/operator.go
+++ b/control/operator.go
@@ -272,7 +272,7 @@
 func (r *Replica) getTeams(*fasthttp.RequestCtx) (any, error) {
 	out := market.Teams{ByName: make(map[string]market.Team)}
 	err := r.confirmed(func(s *State) {
-		out.Revision, out.Winner = s.Market.Teams.Revision, s.Market.Teams.Winner
+		out.Revision, out.LastChange = s.Market.Teams.Revision, s.Market.Teams.LastChange
 		for name, t := range s.Market.Teams.ByName {
 			out.ByName[name] = t
 		}
--- a/market/state.go
+++ b/market/state.go
@@ -23,11 +23,11 @@
 	Order    []string          `msgpack:"o"` // ids of Answers, oldest first
 }
 
-// Teams holds all teams, which share one revision. Winner is the id of the latest change.
+// Teams holds all teams, which share one revision. LastChange is the id of the latest change.
 type Teams struct {
-	Revision uint64          `msgpack:"r" json:"revision"`
-	Winner   string          `msgpack:"w" json:"last_change"`
-	ByName   map[string]Team `msgpack:"n" json:"teams"`
+	Revision   uint64          `msgpack:"r" json:"revision"`
+	LastChange string          `msgpack:"w" json:"last_change"`
+	ByName     map[string]Team `msgpack:"n" json:"teams"`
 }
 
 // answer is the kept answer to an accepted change, with the change's digest.
@@ -99,10 +99,10 @@
 // it: those of the teams or of the change's market.
 func (s *State) currentRevision(c Change) (revision uint64, lastChange string) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
-		return s.Teams.Revision, s.Teams.Winner
+		return s.Teams.Revision, s.Teams.LastChange
 	}
 	if v := s.Markets[c.Market]; v != nil {
-		return v.Revision, v.Winner
+		return v.Revision, v.LastChange
 	}
 	return 0, ""
 }
@@ -111,11 +111,11 @@
 // concerns.
 func (s *State) setRevision(c Change) {
 	if c.Verb == PutTeam || c.Verb == RetireTeam {
-		s.Teams.Revision, s.Teams.Winner = s.Revision, c.ID
+		s.Teams.Revision, s.Teams.LastChange = s.Revision, c.ID
 		return
 	}
 	v := s.Markets[c.Market].clone()
-	v.Revision, v.Winner = s.Revision, c.ID
+	v.Revision, v.LastChange = s.Revision, c.ID
 	s.Markets[c.Market] = v
 }
 
--- a/market/types.go
+++ b/market/types.go
@@ -152,17 +152,17 @@
 	Repeated bool `msgpack:"-" json:"repeated,omitempty"`
 }
 
-// View is the current configuration of one market. Winner is the id of its latest change. A
+// View is the current configuration of one market. LastChange is the id of its latest change. A
 // retired market stays as a tombstone, so that its revision never restarts.
 type View struct {
-	Market   Market              `msgpack:"m" json:"market"`
-	Revision uint64              `msgpack:"r" json:"revision"`
-	Winner   string              `msgpack:"w" json:"last_change"`
-	Retired  bool                `msgpack:"x,omitempty" json:"retired,omitempty"`
-	InForce  string              `msgpack:"f,omitempty" json:"in_force,omitempty"`
-	Services map[string]*Service `msgpack:"s" json:"services,omitempty"`
-	Jobs     map[string]*Job     `msgpack:"j" json:"jobs,omitempty"`
-	Presets  map[string]*Preset  `msgpack:"p" json:"presets,omitempty"`
+	Market     Market              `msgpack:"m" json:"market"`
+	Revision   uint64              `msgpack:"r" json:"revision"`
+	LastChange string              `msgpack:"w" json:"last_change"`
+	Retired    bool                `msgpack:"x,omitempty" json:"retired,omitempty"`
+	InForce    string              `msgpack:"f,omitempty" json:"in_force,omitempty"`
+	Services   map[string]*Service `msgpack:"s" json:"services,omitempty"`
+	Jobs       map[string]*Job     `msgpack:"j" json:"jobs,omitempty"`
+	Presets    map[string]*Preset  `msgpack:"p" json:"presets,omitempty"`
 }
 
 // clone returns a copy with its own maps. Their values are shared; they are replaced, never
