--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -151,7 +151,7 @@
 	g.mu.Lock()
 	up := g.upstream
 	g.mu.Unlock()
-	g.plain.Address(c.req, up.Addr)
+	g.plain.SetTarget(c.req, up.Addr)
 	start := time.Now()
 	c.err = up.DoDeadline(c.req, c.resp, deadline.Add(overrunWait))
 	if c.err == nil {
--- a/entry/request.go
+++ b/entry/request.go
@@ -215,7 +215,7 @@
 	req.Header.Set(header.ID, x.id)
 	req.Header.Set(header.Service, x.route.Market+"/"+x.route.Service.Name)
 	req.Header.Set(header.TimeLeft, strconv.FormatInt(time.Until(x.deadline).Milliseconds(), 10))
-	e.rpc.Address(req, choice.Address)
+	e.rpc.SetTarget(req, choice.Address)
 }
 
 // callFailed returns the verdict and the report for an error of the call to the agent.
--- a/transport/client.go
+++ b/transport/client.go
@@ -78,9 +78,9 @@
 	return h
 }
 
-// Address directs a request to addr, with the scheme that matches the client's TLS settings. A
+// SetTarget directs a request to addr, with the scheme that matches the client's TLS settings. A
 // Host header that is already set stays.
-func (c *Client) Address(q *fasthttp.Request, addr string) {
+func (c *Client) SetTarget(q *fasthttp.Request, addr string) {
 	q.UseHostHeader = len(q.Header.Host()) > 0
 	q.URI().SetHost(addr)
 	q.URI().SetScheme("http")
@@ -103,7 +103,7 @@
 	defer fasthttp.ReleaseResponse(p)
 	q.Header.SetMethod(fasthttp.MethodPost)
 	q.SetRequestURI(path)
-	c.Address(q, addr)
+	c.SetTarget(q, addr)
 	q.SetBodyRaw(body)
 	if err := c.Host(addr).DoTimeout(q, p, timeout); err != nil {
 		return callError(addr, err)
--- a/transport/link_test.go
+++ b/transport/link_test.go
@@ -123,7 +123,7 @@
 		q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		for pb.Next() {
 			q.Header.SetMethod("POST")
-			client.Address(q, ln.Addr().String())
+			client.SetTarget(q, ln.Addr().String())
 			q.SetBodyRaw(body)
 			if err := host.Do(q, p); err != nil || len(p.Body()) != linkBytes {
 				b.Errorf("%v, %d bytes", err, len(p.Body()))
