--- a/control/leader.go
+++ b/control/leader.go
@@ -178,7 +178,7 @@
 // worker when it was taken rather than those that share it now.
 func (l *leader) observe(s *session, req *Renew) {
 	u := req.Usage
-	s.health.Note(u.Done+u.TasksEnded, u.Failed+u.TasksFailed)
+	s.health.Record(u.Done+u.TasksEnded, u.Failed+u.TasksFailed)
 	if u.Seq <= s.usage.Seq && s.usage.Seq != 0 {
 		s.usage.Load = u.Load
 		return
--- a/membership/health.go
+++ b/membership/health.go
@@ -20,8 +20,8 @@
 	reports, quarantinedAt int
 }
 
-// Note records a member's running totals since its agent's start.
-func (h *Health) Note(done, failed uint64) {
+// Record records a member's running totals since its agent's start.
+func (h *Health) Record(done, failed uint64) {
 	h.reports++
 	if done < h.lastDone || failed < h.lastFailed {
 		h.lastDone, h.lastFailed = 0, 0 // the agent has restarted
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -79,9 +79,9 @@
 			s.ApplyAnnounce(Member{Agent: name, Boot: "b", Market: "m", Service: "s"}, 1)
 			health[name] = &Health{}
 			if i < c.failing {
-				health[name].Note(0, 100)
+				health[name].Record(0, 100)
 			} else {
-				health[name].Note(100, 0)
+				health[name].Record(100, 0)
 			}
 		}
 		got := s.Quarantine(func(agent string) *Health { return health[agent] })
