--- a/control/state.go
+++ b/control/state.go
@@ -154,7 +154,7 @@
 	if m == nil {
 		return lease.AgentCapacity{}
 	}
-	return s.Members.Room(agent, s.serviceReserve(m))
+	return s.Members.Available(agent, s.serviceReserve(m))
 }
 
 func (s *State) quota(team string) resource.Vector {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -37,7 +37,7 @@
 	s.ApplyAnnounce(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}, 1)
 	s.ApplyAnnounce(Member{Agent: "b", Boot: "b", DataCentre: "hall-b"}, 2)
 	s.ApplyCordon("hall-a", true, 3)
-	if s.Room("a", resource.Vector{}).Schedulable || !s.Room("b", resource.Vector{}).Schedulable {
+	if s.Available("a", resource.Vector{}).Schedulable || !s.Available("b", resource.Vector{}).Schedulable {
 		t.Error("the wrong member is open")
 	}
 	if changed := s.Since(2); len(changed) != 1 || changed[0].Agent != "a" || !changed[0].Cordoned {
@@ -47,7 +47,7 @@
 		t.Error("the agent's next heartbeat counts as a change")
 	}
 	s.ApplyCordon("hall-a", false, 4)
-	if !s.Room("a", resource.Vector{}).Schedulable || len(s.Since(3)) != 1 {
+	if !s.Available("a", resource.Vector{}).Schedulable || len(s.Since(3)) != 1 {
 		t.Error("the member does not return to service")
 	}
 }
--- a/score/world.go
+++ b/score/world.go
@@ -374,7 +374,9 @@
 
 func (w *world) reserved() resource.Vector { return resource.Vector{MilliCPU: w.s.reservedCPU} }
 
-func (w *world) room(agent string) lease.AgentCapacity { return w.members.Room(agent, w.reserved()) }
+func (w *world) room(agent string) lease.AgentCapacity {
+	return w.members.Available(agent, w.reserved())
+}
 
 func (w *world) snapshot(pass uint64) *placement.Snapshot {
 	s := &placement.Snapshot{Now: w.now, Waiting: w.tasks.WaitingHeads(128), Quota: noQuota, TeamUse: w.tasks.TeamUse,
