--- a/control/operator.go
+++ b/control/operator.go
@@ -282,7 +282,7 @@
 
 func (r *Replica) getMembers(*fasthttp.RequestCtx) (any, error) {
 	var out []*membership.Member
-	err := r.confirmed(func(s *State) { out = s.Members.Since(0) })
+	err := r.confirmed(func(s *State) { out = s.Members.ChangedSince(0) })
 	return out, err
 }
 
--- a/control/replica.go
+++ b/control/replica.go
@@ -253,7 +253,7 @@
 	r.machine.Read(func(s *State) {
 		a.Revision, a.Index = s.Market.Revision, s.Index
 		a.Markets = s.Market.Since(req.Revision)
-		a.Members = s.Members.Since(req.Index) // members are replaced, never modified
+		a.Members = s.Members.ChangedSince(req.Index) // members are replaced, never modified
 	})
 	return a, nil
 }
--- a/membership/health.go
+++ b/membership/health.go
@@ -82,7 +82,7 @@
 // peerGroups groups by service the members that are up or quarantined.
 func (s *State) peerGroups() map[string][]*Member {
 	groups := make(map[string][]*Member)
-	for _, m := range s.Since(0) {
+	for _, m := range s.ChangedSince(0) {
 		if m.Phase == Up || m.Phase == Quarantined {
 			key := m.Market + "/" + m.Service
 			groups[key] = append(groups[key], m)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -170,8 +170,8 @@
 	return lease.AgentCapacity{Boot: m.Boot, Total: m.Capacity.Sub(reserved), Schedulable: m.Phase == Up && !m.Cordoned}
 }
 
-// Since returns the members that changed after a log index, ordered by agent.
-func (s *State) Since(index uint64) []*Member {
+// ChangedSince returns the members that changed after a log index, ordered by agent.
+func (s *State) ChangedSince(index uint64) []*Member {
 	var out []*Member
 	for _, m := range s.Members {
 		if m.Revision > index {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -40,14 +40,14 @@
 	if s.Available("a", resource.Vector{}).Schedulable || !s.Available("b", resource.Vector{}).Schedulable {
 		t.Error("the wrong member is open")
 	}
-	if changed := s.Since(2); len(changed) != 1 || changed[0].Agent != "a" || !changed[0].Cordoned {
+	if changed := s.ChangedSince(2); len(changed) != 1 || changed[0].Agent != "a" || !changed[0].Cordoned {
 		t.Errorf("entries are notified of %+v", changed)
 	}
 	if !s.Members["a"].Same(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}) {
 		t.Error("the agent's next heartbeat counts as a change")
 	}
 	s.ApplyCordon("hall-a", false, 4)
-	if !s.Available("a", resource.Vector{}).Schedulable || len(s.Since(3)) != 1 {
+	if !s.Available("a", resource.Vector{}).Schedulable || len(s.ChangedSince(3)) != 1 {
 		t.Error("the member does not return to service")
 	}
 }
