--- a/clock/clock.go
+++ b/clock/clock.go
@@ -33,11 +33,11 @@
 // suspended returns how long the machine has been suspended in total since its boot.
 var suspended atomic.Pointer[func() time.Duration]
 
-func init() { Suspend(kernelSuspended) }
+func init() { SetSuspendedSource(kernelSuspended) }
 
-// Suspend replaces the source of the total suspended time since boot, for tests. restore puts
-// the previous source back.
-func Suspend(total func() time.Duration) (restore func()) {
+// SetSuspendedSource replaces the source of the total suspended time since boot, for tests. restore
+// puts the previous source back.
+func SetSuspendedSource(total func() time.Duration) (restore func()) {
 	old := suspended.Swap(&total)
 	return func() { suspended.Store(old) }
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -8,7 +8,7 @@
 // Suspensions count as elapsed time, although the monotonic clock stops during them.
 func TestSuspensionsCount(t *testing.T) {
 	total := time.Duration(0)
-	defer Suspend(func() time.Duration { return total })()
+	defer SetSuspendedSource(func() time.Duration { return total })()
 	before := Now()
 	total = 7 * time.Second
 	if d := Since(before); d < 7*time.Second || d > 8*time.Second {
--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -103,7 +103,7 @@
 	c := newCluster(t)
 	c.request(datacentre.InService)
 	var suspended atomic.Int64
-	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedSource(func() time.Duration { return time.Duration(suspended.Load()) })()
 	suspended.Add(int64(5 * time.Second))
 	if err := c.replicas[0].RequestDataCentre(testDataCentre, datacentre.Cordoned, senderWaits); err == nil {
 		t.Error("an order read right after the suspension was acknowledged")
@@ -123,7 +123,7 @@
 func TestOrderThatTookTooLongIsRefused(t *testing.T) {
 	r := newBareReplica(t)
 	var suspended atomic.Int64
-	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedSource(func() time.Duration { return time.Duration(suspended.Load()) })()
 	for _, took := range []time.Duration{maxOrderAge / 2, 2 * maxOrderAge} {
 		for range 2 * minRunning / stallCheckInterval {
 			r.stalls.observe(clock.Now())
@@ -143,7 +143,7 @@
 // monotonic clock, or the machine was suspended.
 func TestStallDetectorSeesStallsAndSuspensions(t *testing.T) {
 	var suspended atomic.Int64
-	defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
+	defer clock.SetSuspendedSource(func() time.Duration { return time.Duration(suspended.Load()) })()
 	at := func(d time.Duration) clock.Instant { suspended.Store(int64(d)); return clock.Now() }
 	var p stallDetector
 	for d := time.Duration(0); d <= 3*time.Second; d += stallCheckInterval {
--- a/runner/cordon_test.go
+++ b/runner/cordon_test.go
@@ -95,7 +95,7 @@
 	for _, lasted := range []time.Duration{0, 10 * time.Second} {
 		withBench(t, func(t *testing.T, b *bench) {
 			var suspended atomic.Int64
-			defer clock.Suspend(func() time.Duration { return time.Duration(suspended.Load()) })()
+			defer clock.SetSuspendedSource(func() time.Duration { return time.Duration(suspended.Load()) })()
 			b.ctl.setTerm(time.Minute)
 			time.Sleep(time.Second)
 			b.ctl.setDown(true)
