--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -138,7 +138,7 @@
 	if set.Platform == nil {
 		return r.Run, nil
 	}
-	platform.Equip(set, r)
+	platform.SetClients(set, r)
 	return func(ctx context.Context) error {
 		g, ctx := errgroup.WithContext(ctx)
 		g.Go(func() error { return r.Run(ctx) })
