--- a/control/replicaset.go
+++ b/control/replicaset.go
@@ -100,7 +100,7 @@
 
 // repair takes the next step towards a complete replica set, and records any shortage.
 func (r *Replica) repair(ctx context.Context) {
-	must := r.set.Losses()
+	must := r.set.LossTolerance()
 	changed, err := r.node.Repair(ctx, must)
 	st, serr := r.node.Status(ctx)
 	if serr != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -117,9 +117,9 @@
 	FormFromSeeds bool `toml:"form_from_seeds"`
 }
 
-// Losses returns the number of control replicas that may fail simultaneously: as given,
+// LossTolerance returns the number of control replicas that may fail simultaneously: as given,
 // else what the listed replicas tolerate.
-func (s *Settings) Losses() int {
+func (s *Settings) LossTolerance() int {
 	switch {
 	case s.Control != nil && s.Control.LossTolerance != nil:
 		return *s.Control.LossTolerance
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -69,8 +69,8 @@
 		s, err := Parse("test", c.text)
 		if err != nil {
 			t.Errorf("%q: %v", c.text, err)
-		} else if s.Losses() != c.want {
-			t.Errorf("%q: %d losses, want %d", c.text, s.Losses(), c.want)
+		} else if s.LossTolerance() != c.want {
+			t.Errorf("%q: %d losses, want %d", c.text, s.LossTolerance(), c.want)
 		}
 	}
 }
