--- a/advice/table.go
+++ b/advice/table.go
@@ -1,6 +1,6 @@
 // Package advice caches the advisor's answers on which workers may run a step. Steps of some
 // queues may run only on certain workers, which only the advisor knows; a start on one of them
-// carries a ticket from the advisor. Book does no I/O and takes the time as an argument.
+// carries a ticket from the advisor. Table does no I/O and takes the time as an argument.
 package advice
 
 import (
@@ -28,8 +28,8 @@
 	Workers []string
 }
 
-// Book is the advice table of one leader. It is not replicated: a new leader starts empty.
-type Book struct {
+// Table is the advice table of one leader. It is not replicated: a new leader starts empty.
+type Table struct {
 	steps map[jobs.GroupKey]*stepAdvice
 }
 
@@ -47,10 +47,10 @@
 	until time.Time
 }
 
-// NewBook returns an empty table.
-func NewBook() *Book { return &Book{steps: make(map[jobs.GroupKey]*stepAdvice)} }
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{steps: make(map[jobs.GroupKey]*stepAdvice)} }
 
-func (b *Book) adviceFor(step jobs.GroupKey) *stepAdvice {
+func (b *Table) adviceFor(step jobs.GroupKey) *stepAdvice {
 	o := b.steps[step]
 	if o == nil {
 		o = &stepAdvice{tickets: make(map[string]ticket), allowed: make(map[string]bool)}
@@ -60,7 +60,7 @@
 }
 
 // Ticket returns a valid ticket for a step on a worker, "" if there is none.
-func (b *Book) Ticket(step jobs.GroupKey, worker string, now time.Time) string {
+func (b *Table) Ticket(step jobs.GroupKey, worker string, now time.Time) string {
 	if o := b.steps[step]; o != nil && now.Before(o.tickets[worker].until) {
 		return o.tickets[worker].value
 	}
@@ -71,7 +71,7 @@
 // Candidates are ordered best first; those with a valid ticket count towards the need.
 // Workers that may run the step but have no valid ticket any more are asked about first. It
 // returns nil if there is nothing to ask now.
-func (b *Book) Question(step jobs.GroupKey, need int, candidates []string, now time.Time) *Question {
+func (b *Table) Question(step jobs.GroupKey, need int, candidates []string, now time.Time) *Question {
 	o := b.adviceFor(step)
 	if o.pending || now.Before(o.retryAt) {
 		return nil
@@ -99,7 +99,7 @@
 // Answer records the tickets of the workers that may run the step; the others in the
 // question may not. The tickets' validity counts from when the question was sent, which is
 // never later than when they were issued.
-func (b *Book) Answer(q *Question, tickets map[string]string, sent time.Time, valid time.Duration) {
+func (b *Table) Answer(q *Question, tickets map[string]string, sent time.Time, valid time.Duration) {
 	o := b.adviceFor(q.Step)
 	o.pending = false
 	until := sent.Add(time.Duration(usableShare * float64(valid)))
@@ -113,20 +113,20 @@
 }
 
 // Unanswered records that a question was not answered.
-func (b *Book) Unanswered(q *Question, now time.Time) {
+func (b *Table) Unanswered(q *Question, now time.Time) {
 	o := b.adviceFor(q.Step)
 	o.pending, o.retryAt = false, now.Add(retryAfter)
 }
 
 // Rejected drops the ticket of a worker that rejected the start of a run.
-func (b *Book) Rejected(step jobs.GroupKey, worker string) {
+func (b *Table) Rejected(step jobs.GroupKey, worker string) {
 	if o := b.steps[step]; o != nil {
 		delete(o.tickets, worker)
 	}
 }
 
 // Forget drops the steps for which open returns false.
-func (b *Book) Forget(open func(jobs.GroupKey) bool) {
+func (b *Table) Forget(open func(jobs.GroupKey) bool) {
 	for step := range b.steps {
 		if !open(step) {
 			delete(b.steps, step)
--- a/advice/table_test.go
+++ b/advice/table_test.go
@@ -21,7 +21,7 @@
 // A step may run on only a few of many workers. The advisor must be asked about each worker
 // once, in batches of thirty, and not while an answer is outstanding.
 func TestEachWorkerIsAskedAboutOnce(t *testing.T) {
-	b, now := NewBook(), time.Now()
+	b, now := NewTable(), time.Now()
 	all := workers(40)
 	q := b.Question(step, 2, all, now)
 	if q == nil || len(q.Workers) != minAsked {
@@ -50,7 +50,7 @@
 // A ticket expires while its step waits, or a worker rejects it. It must be requested again,
 // only for workers that may run the step, and not be used shortly before it expires.
 func TestATicketIsRenewed(t *testing.T) {
-	b, now := NewBook(), time.Now()
+	b, now := NewTable(), time.Now()
 	all := workers(3)
 	q := b.Question(step, 1, all, now)
 	b.Answer(q, map[string]string{"w01": "t1", "w02": "t2"}, now, time.Second)
--- a/control/advisor.go
+++ b/control/advisor.go
@@ -40,14 +40,14 @@
 	d       *dispatcher
 	advisor Advisor
 	wakeup  chan struct{}
-	table   *advice.Book // guarded by the dispatcher's lock
+	table   *advice.Table // guarded by the dispatcher's lock
 }
 
 // SetAdvisor sets the advisor to query. It must be called before Run.
 func (r *Replica) SetAdvisor(a Advisor) { r.dispatcher.advice.advisor = a }
 
 func newAdviceRequester(d *dispatcher) *adviceRequester {
-	return &adviceRequester{d: d, wakeup: make(chan struct{}, 1), table: advice.NewBook()}
+	return &adviceRequester{d: d, wakeup: make(chan struct{}, 1), table: advice.NewTable()}
 }
 
 func (r *adviceRequester) wake() {
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -91,7 +91,7 @@
 	d.openSince = nil
 	d.stalledAt = make(map[jobs.Stop]time.Time)
 	d.stuckAt = make(map[jobs.Stop]time.Time)
-	d.advice.table = advice.NewBook()
+	d.advice.table = advice.NewTable()
 }
 
 // leads reports whether this replica leads, and resets the dispatcher for a new leadership: the
