--- a/control/admission.go
+++ b/control/admission.go
@@ -33,7 +33,7 @@
 	}
 	d.submitted(c)
 	e := refusal.New(refusal.Overloaded, "hand it in again later", "%s", v.Reason())
-	e.RetryAfter = refusal.Spread(v.RetryAfter)
+	e.RetryAfter = refusal.Jitter(v.RetryAfter)
 	return e
 }
 
--- a/control/apply_jobs.go
+++ b/control/apply_jobs.go
@@ -131,7 +131,7 @@
 func (s *State) findQueue(c JobCall) (host, prefix, id string, err error) {
 	if s.Queues.Config.Version == 0 {
 		e := refusal.New(refusal.NoConfig, "ask again once the operator has sent one", "no configuration is in force yet")
-		e.RetryAfter = refusal.Spread(noConfigRetry)
+		e.RetryAfter = refusal.Jitter(noConfigRetry)
 		return "", "", "", e
 	}
 	q, rest := s.Queues.Config.Match(c.Host, c.Path)
--- a/control/client.go
+++ b/control/client.go
@@ -95,7 +95,7 @@
 			return combinedOutcome(e, maybeTaken)
 		}
 		refusal.CountRetry(c.part, e.Code)
-		time.Sleep(refusal.Spread(pause))
+		time.Sleep(refusal.Jitter(pause))
 	}
 }
 
--- a/control/datacentres.go
+++ b/control/datacentres.go
@@ -151,7 +151,7 @@
 	ordersStale.Inc()
 	logrus.Infof("control: Refused an order about a data centre that may be out of date: %s.", why)
 	e := refusal.New(refusal.Unreachable, "send it again if it is still wanted", "%s", why)
-	e.RetryAfter = refusal.Spread(staleOrderRetry)
+	e.RetryAfter = refusal.Jitter(staleOrderRetry)
 	return e
 }
 
--- a/control/replica.go
+++ b/control/replica.go
@@ -218,7 +218,7 @@
 		return e
 	}
 	e := refusal.New(refusal.NoQuorum, "wait for a majority of the control replicas, or check their network", "no leader is known to %s", r.self.Name)
-	e.RetryAfter = refusal.Spread(500 * time.Millisecond)
+	e.RetryAfter = refusal.Jitter(500 * time.Millisecond)
 	return e
 }
 
--- a/control/waves.go
+++ b/control/waves.go
@@ -344,7 +344,7 @@
 	token, ok := w.orderToken()
 	if !ok {
 		e := refusal.New(refusal.NoQuorum, "ask again in a moment", "this replica may not give orders about machines yet")
-		e.RetryAfter = refusal.Spread(w.lease)
+		e.RetryAfter = refusal.Jitter(w.lease)
 		return e
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), machineTimeout)
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -116,7 +116,7 @@
 
 func errWithheld() error {
 	e := refusal.New(refusal.NoQuorum, "ask again", "the configuration changed while the call was waiting")
-	e.RetryAfter = refusal.Spread(withheldRetryAfter)
+	e.RetryAfter = refusal.Jitter(withheldRetryAfter)
 	return e
 }
 
--- a/entry/request.go
+++ b/entry/request.go
@@ -309,7 +309,7 @@
 	ctx.SetContentType("text/plain; charset=utf-8")
 	ctx.Response.Header.Set(header.Reason, string(v.code))
 	if v.retryAfter > 0 {
-		wait := refusal.Spread(v.retryAfter)
+		wait := refusal.Jitter(v.retryAfter)
 		seconds := (wait + time.Second - 1) / time.Second
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(seconds)))
 		ctx.Response.Header.Set(header.RetryAfterMS, strconv.FormatInt(wait.Milliseconds(), 10))
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -116,8 +116,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`waxwinghaven_retries_total{part=%q,reason=%q}`, part, string(code))).Inc()
 }
 
-// Spread returns a random duration from base up to twice base, so that callers refused at
+// Jitter returns a random duration from base up to twice base, so that callers refused at
 // the same time do not retry at the same time.
-func Spread(base time.Duration) time.Duration {
+func Jitter(base time.Duration) time.Duration {
 	return base + rand.N(base)
 }
