--- a/control/client.go
+++ b/control/client.go
@@ -34,8 +34,8 @@
 	return &Client{part: part, rpc: rpc, contacts: contacts, failed: make(map[string]time.Time), currentAddr: first[start%len(first)], next: start + 1}
 }
 
-// Learn sets the addresses of the replica set, as reported by a replica.
-func (c *Client) Learn(addresses []string) {
+// SetReplicas sets the addresses of the replica set, as reported by a replica.
+func (c *Client) SetReplicas(addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
--- a/control/client_test.go
+++ b/control/client_test.go
@@ -88,7 +88,7 @@
 func TestLearnedReplicasAreUsedWithoutTheSeeds(t *testing.T) {
 	serve(t, "127.0.8.31:7880", func() error { return nil })
 	c := clientOf("127.0.8.33:7880", "127.0.8.34:7880")
-	c.Learn([]string{"127.0.8.31:7880"})
+	c.SetReplicas([]string{"127.0.8.31:7880"})
 	if err := c.Call(PathPutConfig, 10*time.Second, &Empty{}, nil); err != nil {
 		t.Error(err)
 	}
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -67,7 +67,7 @@
 		logrus.Warnf("entry: Could not fetch the control replicas: %v.", err)
 		return
 	}
-	j.ctl.Learn(a.Replicas)
+	j.ctl.SetReplicas(a.Replicas)
 	j.lastAnswer.Store(int64(time.Since(j.started)))
 }
 
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -399,7 +399,7 @@
 	return &fakeControl{endsOf: make(map[runKey]string), onRegister: func() {}, orders: make(map[runKey]*order), termMS: 5000, changed: make(chan struct{})}
 }
 
-func (c *fakeControl) Learn([]string) {}
+func (c *fakeControl) SetReplicas([]string) {}
 
 func (c *fakeControl) Prefer([]string) {}
 
--- a/runner/grant.go
+++ b/runner/grant.go
@@ -24,7 +24,7 @@
 		s.handleControlError("lease", err)
 		return
 	}
-	s.r.ctl.Learn(a.Replicas)
+	s.r.ctl.SetReplicas(a.Replicas)
 	s.r.ctl.Prefer(a.Orders)
 	s.pacer.learn(a.Costs)
 	newLeader := s.leader.Swap(a.Leader) != a.Leader
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -22,7 +22,7 @@
 type Control interface {
 	Call(path string, timeout time.Duration, req, resp any) error
 	CallAny(path string, timeout time.Duration, req, resp any) error
-	Learn(addresses []string)
+	SetReplicas(addresses []string)
 	Prefer(addresses []string)
 }
 
