--- a/control/advisor.go
+++ b/control/advisor.go
@@ -112,14 +112,14 @@
 // of the tickets; q is nil if there is nothing to ask.
 func (r *adviceRequester) next() (q *advice.Question, limit, valid time.Duration) {
 	now := time.Now()
-	var wanted []dispatch.AdviceRequest
+	var requests []dispatch.AdviceRequest
 	r.d.r.machine.Read(func(s *State) {
-		wanted = dispatch.AdviceRequests(r.d.input(s))
+		requests = dispatch.AdviceRequests(r.d.input(s))
 	})
 	r.d.mu.Lock()
 	defer r.d.mu.Unlock()
-	for i := range wanted {
-		w := &wanted[i]
+	for i := range requests {
+		w := &requests[i]
 		if q = r.table.Question(w.Step, w.Tasks, w.Workers, now); q != nil {
 			limit = time.Duration(w.Advice.AnswerMS(len(q.Workers)))*time.Millisecond + adviceSlack
 			return q, limit, time.Duration(w.Advice.ValidMS) * time.Millisecond
--- a/control/leases.go
+++ b/control/leases.go
@@ -95,7 +95,7 @@
 	term       uint64          // of the leadership whose lease table it is based on
 	leadingFor time.Duration   // how long this replica had been leading
 	applied    uint64          // log index of the state
-	ungranted  []time.Duration // by worker, time since its last grant
+	sinceGrant []time.Duration // by worker, time since its last grant
 }
 
 // decideLoss closes the leases that were not renewed for a whole term.
@@ -114,7 +114,7 @@
 		}
 		slices.SortFunc(l.workers, func(a, b holder) int { return strings.Compare(a.Worker, b.Worker) })
 		for _, x := range l.workers {
-			l.ungranted = append(l.ungranted, d.keeper.SinceGrant(x, now))
+			l.sinceGrant = append(l.sinceGrant, d.keeper.SinceGrant(x, now))
 		}
 	})
 	return l
@@ -152,8 +152,8 @@
 }
 
 func (l *loss) log(runs int, took time.Duration) {
-	ungrantedMS := make([]int64, 0, len(l.ungranted)) // in the order of the workers
-	for _, d := range l.ungranted {
+	ungrantedMS := make([]int64, 0, len(l.sinceGrant)) // in the order of the workers
+	for _, d := range l.sinceGrant {
 		ungrantedMS = append(ungrantedMS, d.Milliseconds())
 	}
 	logrus.WithFields(logrus.Fields{"workers": l.workers, "runs": runs, "ungranted_ms": ungrantedMS, "term": l.term, "led_ms": l.leadingFor.Milliseconds(),
--- a/control/messages_jobs.go
+++ b/control/messages_jobs.go
@@ -106,7 +106,7 @@
 	Index uint64 `msgpack:"i"`
 	// LateLeaseMS is how long the worker's lease may outlast what the control grants, because a late
 	// call extended it before the worker was fenced; 0 if it cannot. After that time the agent
-	// registers the worker without LentLate.
+	// registers the worker without LateLease.
 	LateLeaseMS int64 `msgpack:"l,omitempty"`
 }
 
--- a/control/replica.go
+++ b/control/replica.go
@@ -71,7 +71,7 @@
 	r.leader = newLeader(r)
 	r.dispatcher = newDispatcher(r)
 	r.waves = &waves{r: r}
-	r.machine.onTouched = r.dispatcher.touched
+	r.machine.onOrdersChanged = r.dispatcher.notifyChanged
 	r.routes()
 	return r, nil
 }
--- a/control/state.go
+++ b/control/state.go
@@ -170,8 +170,8 @@
 type Machine struct {
 	mu    sync.RWMutex
 	state *State
-	// onTouched is called with the workers whose orders a command changed.
-	onTouched func(workers []string)
+	// onOrdersChanged is called with the workers whose orders a command changed.
+	onOrdersChanged func(workers []string)
 }
 
 // NewMachine returns a machine with an empty state.
@@ -185,10 +185,10 @@
 	}
 	m.mu.Lock()
 	v, err := m.state.Apply(index, c)
-	touched := m.state.Jobs.TakeChangedWorkers()
+	changed := m.state.Jobs.TakeChangedWorkers()
 	m.mu.Unlock()
-	if m.onTouched != nil {
-		m.onTouched(touched)
+	if m.onOrdersChanged != nil {
+		m.onOrdersChanged(changed)
 	}
 	return applied{v, err}
 }
--- a/control/workers.go
+++ b/control/workers.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// touched signals the watchers of the workers whose orders a command has changed.
-func (d *dispatcher) touched(workers []string) {
+// notifyChanged signals the watchers of the workers whose orders a command has changed.
+func (d *dispatcher) notifyChanged(workers []string) {
 	if len(workers) == 0 {
 		return
 	}
--- a/jobs/crash_test.go
+++ b/jobs/crash_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != Isolate || g.SuspicionLevel(1) != Isolate {
-		t.Fatalf("after two crashes the tasks have the doubts %v and %v", g.SuspicionLevel(0), g.SuspicionLevel(1))
+		t.Fatalf("after two crashes the tasks have the suspicion levels %v and %v", g.SuspicionLevel(0), g.SuspicionLevel(1))
 	}
 	out := w.crash("w3", 10, w.startOn("w3", crashTask(0)))
 	if len(out) != 1 || out[0].Task != crashTask(0) || w.Jobs[crashID].Phase != Failed || w.Jobs[crashID].FailureReason == "" {
@@ -162,11 +162,11 @@
 	w.submit(idA, step(3, 500))
 	g := w.Jobs[crashID].Groups[0]
 	if g.SuspicionLevel(0) != NoSuspicion || g.Suspicion(0).Crashes != 4 {
-		t.Fatalf("the doubt is %v: %+v", g.SuspicionLevel(0), *g.Suspicion(0))
+		t.Fatalf("the suspicion level is %v: %+v", g.SuspicionLevel(0), *g.Suspicion(0))
 	}
 	w.crash("w1", 10, w.startOn("w1", crashTask(0)), w.startOn("w1", Ref{Job: idA}), w.startOn("w1", Ref{Job: idA, Index: 1}), w.startOn("w1", Ref{Job: idA, Index: 2}))
 	if w.phase(crashID) == Failed || g.SuspicionLevel(0) != Isolate {
-		t.Errorf("the job is %v, its task's doubt is %v: %+v", w.phase(crashID), g.SuspicionLevel(0), *g.Suspicion(0))
+		t.Errorf("the job is %v, its task's suspicion level is %v: %+v", w.phase(crashID), g.SuspicionLevel(0), *g.Suspicion(0))
 	}
 }
 
@@ -180,7 +180,7 @@
 		t.Fatalf("the task's suspicion is %+v", *s)
 	}
 	if !g.MustIsolate(0) {
-		t.Errorf("the task's doubt is %v, and it may start beside other tasks", g.SuspicionLevel(0))
+		t.Errorf("the task's suspicion level is %v, and it may start beside other tasks", g.SuspicionLevel(0))
 	}
 }
 
@@ -300,7 +300,7 @@
 		w.ApplyEnd("w1", End{Task: run.Task, Run: run.Run, Outcome: OutcomeRejected}, rules, w.next())
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != NoSuspicion || w.Jobs[crashID].Phase == Failed {
-		t.Fatalf("the doubt is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
+		t.Fatalf("the suspicion level is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
 	}
 }
 
@@ -315,7 +315,7 @@
 		w.crash("w1", clearAgeMS+10, w.startOn("w1", crashTask(0)))
 	}
 	if g := w.Jobs[crashID].Groups[0]; g.SuspicionLevel(0) != NoSuspicion || w.Jobs[crashID].Phase != Running {
-		t.Fatalf("the doubt is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
+		t.Fatalf("the suspicion level is %v, the job is %v", g.SuspicionLevel(0), w.Jobs[crashID].Phase)
 	}
 }
 
@@ -389,7 +389,7 @@
 		}
 		s.Rebuild()
 		if got := s.Jobs[crashID].Groups[0].SuspicionLevel(0); got != c.want || len(s.Suspects()) != c.n {
-			t.Errorf("the doubt is %v with %d suspects, want %v with %d", got, len(s.Suspects()), c.want, c.n)
+			t.Errorf("the suspicion level is %v with %d suspects, want %v with %d", got, len(s.Suspects()), c.want, c.n)
 		}
 	}
 }
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -30,7 +30,7 @@
 	suspects map[Ref]struct{}
 	pending  map[string]int // jobs without a started task, by host and prefix
 	live     int
-	touched  []string // workers whose orders changed
+	changed  []string // workers whose orders changed
 }
 
 // Use is the capacity that the runs on one worker hold. CPU amounts are in thousandths of a
@@ -232,15 +232,15 @@
 
 // TakeChangedWorkers returns the workers whose orders changed since the last call, and resets the list.
 func (s *State) TakeChangedWorkers() []string {
-	t := s.touched
-	s.touched = nil
+	t := s.changed
+	s.changed = nil
 	return t
 }
 
 // markChanged records a change of a run's order for its agent.
 func (s *State) markChanged(r *Placed, index uint64) {
 	r.Changed = index
-	s.touched = append(s.touched, r.Worker)
+	s.changed = append(s.changed, r.Worker)
 }
 
 // recordDataCentre records that a service has a worker in its data centre.
@@ -255,7 +255,7 @@
 func (s *State) MarkDataCentreChanged(name string) {
 	for id, w := range s.Workers {
 		if w.DataCentre == name {
-			s.touched = append(s.touched, id)
+			s.changed = append(s.changed, id)
 		}
 	}
 }
--- a/jobs/state_test.go
+++ b/jobs/state_test.go
@@ -37,8 +37,8 @@
 
 func (w *fixture) next() uint64 { w.index++; return w.index }
 
-func (w *fixture) register(id, agent, life string) Worker {
-	return w.ApplyRegister(Worker{ID: id, Agent: agent, Session: life, Service: "vault", Labels: []string{"a", "r1"},
+func (w *fixture) register(id, agent, session string) Worker {
+	return w.ApplyRegister(Worker{ID: id, Agent: agent, Session: session, Service: "vault", Labels: []string{"a", "r1"},
 		Capacity: resource.Vector{MilliCPU: 4000, MemoryMB: 1000}}, w.next()).Worker
 }
 
--- a/lease/attempt.go
+++ b/lease/attempt.go
@@ -48,12 +48,12 @@
 
 func (s *State) applyPlacement(p Placement, l Limits, now int64, r *PlanResult) {
 	t := s.Tasks[p.Task]
-	room := l.Capacity(p.Agent)
-	if t == nil || t.Phase != Waiting || t.Attempt+1 != p.Attempt || !room.Schedulable || room.Boot != p.Boot {
+	capacity := l.Capacity(p.Agent)
+	if t == nil || t.Phase != Waiting || t.Attempt+1 != p.Attempt || !capacity.Schedulable || capacity.Boot != p.Boot {
 		r.Stale++
 		return
 	}
-	if !s.reserved[p.Agent].Add(t.Need).Fits(room.Total) || !s.withinQuota(t, l.Quota(t.Team)) {
+	if !s.reserved[p.Agent].Add(t.Need).Fits(capacity.Total) || !s.withinQuota(t, l.Quota(t.Team)) {
 		r.NoCapacity++
 		return
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// AgentCapacity returns what a member can offer to tasks: its boot, its capacity less what is
-// reserved, and whether it accepts tasks. An unknown member gives the zero AgentCapacity.
+// Available returns what a member can offer to tasks: its boot, its capacity less what is
+// reserved, and whether it accepts tasks. An unknown member gives the zero lease.AgentCapacity.
 func (s *State) Available(agent string, reserved resource.Vector) lease.AgentCapacity {
 	m := s.Members[agent]
 	if m == nil {
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -385,9 +385,9 @@
 	changed       chan struct{}
 	onRegister    func() // called at each registration
 	noTokens      bool   // hands out no fencing tokens
-	overtakenMS   int64  // returned with each end
-	lentMS        int64  // returned for registrations with LentLate
-	lentLate      []bool // LentLate of the registrations
+	maxLeaseMS    int64  // returned with each end
+	lateLeaseMS   int64  // returned for registrations with LateLease
+	lateLeases    []bool // LateLease of the registrations
 }
 
 type order struct {
@@ -533,9 +533,9 @@
 			c.orders = make(map[runKey]*order)
 		}
 		c.worker, c.session = q.ID, q.Session
-		c.lentLate = append(c.lentLate, q.LateLease)
+		c.lateLeases = append(c.lateLeases, q.LateLease)
 		if resp.(*control.Registered).Index = c.index; q.LateLease {
-			resp.(*control.Registered).LateLeaseMS = c.lentMS
+			resp.(*control.Registered).LateLeaseMS = c.lateLeaseMS
 		}
 	case *control.LeaseRequest:
 		if q.Session != c.session {
@@ -552,7 +552,7 @@
 		}
 		c.endedWorkers = append(c.endedWorkers, q.Worker)
 	case *control.RunEnds:
-		resp.(*control.EndsAnswer).MaxLeaseMS = c.overtakenMS
+		resp.(*control.EndsAnswer).MaxLeaseMS = c.maxLeaseMS
 		for _, e := range q.Ends {
 			c.ends = append(c.ends, e)
 			if key := (runKey{e.Task, e.Run}); c.endsOf[key] == "" {
--- a/runner/lapse_test.go
+++ b/runner/lapse_test.go
@@ -11,7 +11,7 @@
 // end that run, announces the successor, and returns the time of the announcement.
 func (b *bench) endLateRun(overtaken time.Duration) time.Time {
 	b.ctl.mu.Lock()
-	b.ctl.overtakenMS = overtaken.Milliseconds()
+	b.ctl.maxLeaseMS = overtaken.Milliseconds()
 	b.ctl.mu.Unlock()
 	b.leaveAStartUnanswered()
 	b.worker.failCalls(ErrClosed)
--- a/runner/late_lease_test.go
+++ b/runner/late_lease_test.go
@@ -10,14 +10,14 @@
 func TestLongestLeaseIsClearedOnceItHasPassed(t *testing.T) {
 	withBench(t, func(t *testing.T, b *bench) {
 		b.ctl.mu.Lock()
-		b.ctl.lentMS = 10_000
+		b.ctl.lateLeaseMS = 10_000
 		b.ctl.mu.Unlock()
 		b.announce("w1", false)
 		time.Sleep(9 * time.Second)
 		lateLeases := func() []bool {
 			b.ctl.mu.Lock()
 			defer b.ctl.mu.Unlock()
-			return slices.Clone(b.ctl.lentLate)
+			return slices.Clone(b.ctl.lateLeases)
 		}
 		if s := lateLeases(); slices.Contains(s, false) {
 			t.Fatalf("cleared early: %v", s)
