--- a/admission/gate.go
+++ b/admission/gate.go
@@ -1,6 +1,5 @@
-// Package admission decides which requests are passed to an upstream, and when. Gate is a pure
-// state machine: it is given arrivals and ends with their times and returns what is admitted or
-// refused.
+// Package admission decides which requests are passed to an upstream, and when. Gate is a pure state
+// machine: it is given arrivals and ends with their times and returns what is admitted or refused.
 package admission
 
 import (
--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -1,6 +1,6 @@
-// Package datacentre records which data centres operators have taken out of service for
-// maintenance. State is a pure state machine under the quorum's log: an order is acknowledged only
-// after its commit, and survives changes of the leader.
+// Package datacentre records which data centres operators have taken out of service for maintenance.
+// State is a pure state machine under the quorum's log: an order is acknowledged only after its
+// commit, and survives changes of the leader.
 package datacentre
 
 import (
--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// An order without an ID is sent to several replicas until one answers. Copies that arrive after
-// the first one has taken effect must get the same answer.
+// An order without an ID is sent to several replicas until one answers. Copies that arrive after the
+// first one has taken effect must get the same answer.
 func TestCopiesOfAnOrderWithoutAnIDAreAcknowledged(t *testing.T) {
 	s := NewState()
 	for i := range 3 {
--- a/quorum/disk_test.go
+++ b/quorum/disk_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// A crash in the middle of a write leaves an incomplete tail. It was neither synced nor
-// acknowledged, so the replica truncates it and starts.
+// A crash in the middle of a write leaves an incomplete tail. It was neither synced nor acknowledged,
+// so the replica truncates it and starts.
 func TestTornTailIsCut(t *testing.T) {
 	for _, keep := range []int64{1, 7, 8, 20} {
 		dir := t.TempDir()
@@ -154,8 +154,8 @@
 	}
 }
 
-// Opening a log file with arbitrary content either succeeds or returns an error. It never panics
-// and never returns entries out of order.
+// Opening a log file with arbitrary content either succeeds or returns an error. It never panics and
+// never returns entries out of order.
 func FuzzOpenDisk(f *testing.F) {
 	good, err := encodeRecord(record{Hard: &HardState{Term: 1}, Entries: []Entry{{Index: 1, Term: 1, Data: []byte("x")}}})
 	if err != nil {
--- a/quorum/repair.go
+++ b/quorum/repair.go
@@ -146,8 +146,7 @@
 	return next, ok && next.MajorityMargin(st.recentlyActive) >= tolerance
 }
 
-// unresponsiveWithoutSuccessor returns an unresponsive voter whose host has not returned as a
-// learner.
+// unresponsiveWithoutSuccessor returns an unresponsive voter whose host has not returned as a learner.
 func unresponsiveWithoutSuccessor(st Status) (uint64, bool) {
 	for _, id := range st.Unresponsive {
 		v, _ := find(st.Config.Voters, id)
@@ -189,8 +188,8 @@
 	return ok || id == s.ID
 }
 
-// CaughtUp reports whether a learner responds and lacks at most catchUpSlack entries. One that
-// never responded must not become a voter: it could cost the leader its majority.
+// CaughtUp reports whether a learner responds and lacks at most catchUpSlack entries. One that never
+// responded must not become a voter: it could cost the leader its majority.
 func (s Status) CaughtUp(learner Replica) bool {
 	match, responded := s.Match[learner.ID]
 	return responded && match+catchUpSlack >= s.Last
--- a/quorum/repair_test.go
+++ b/quorum/repair_test.go
@@ -26,10 +26,10 @@
 	return st
 }
 
-// A host of the replica set is replaced by an empty one at another address, or returns with an
-// empty disk. The new replica must replace the lost voter and no other. If it were added beside it,
-// the set would have a voter that never responds; if the old one were removed first, the set would
-// have one voter less until the next step. If no voter is lost, it stays a spare.
+// A host of the replica set is replaced by an empty one at another address, or returns with an empty
+// disk. The new replica must replace the lost voter and no other. If it were added beside it, the set
+// would have a voter that never responds; if the old one were removed first, the set would have one
+// voter less until the next step. If no voter is lost, it stays a spare.
 func TestNewReplicaReplacesLostVoterInOneStep(t *testing.T) {
 	three := Config{Voters: voterSet(1, 2, 3)}
 	newReplica := Replica{ID: 9, Name: "new", Address: "NEW"}
@@ -78,9 +78,9 @@
 	}
 }
 
-// A set of four tolerates one loss like a set of three, but a voter that is permanently lost uses
-// up that tolerance: it must be removed. It stays where the remaining set would be below the
-// required tolerance, such as in a set of five with a place to fill.
+// A set of four tolerates one loss like a set of three, but a voter that is permanently lost uses up
+// that tolerance: it must be removed. It stays where the remaining set would be below the required
+// tolerance, such as in a set of five with a place to fill.
 func TestUnresponsiveVoterIsRemovedOnlyWithinTolerance(t *testing.T) {
 	four := Config{Voters: voterSet(1, 2, 3, 4)}
 	if next, ok := nextStep(statusOf(four, 3), 1); !ok || next.IsVoter(3) || len(next.Voters) != 3 || len(next.Learners) > 0 {
@@ -104,9 +104,9 @@
 	}
 }
 
-// A set in which every replica votes, as formed by earlier versions, is reduced to its full size
-// while in service, which halves the copies of each commit. No replica leaves the set, and the
-// remaining voters are spread over the data centres.
+// A set in which every replica votes, as formed by earlier versions, is reduced to its full size while
+// in service, which halves the copies of each commit. No replica leaves the set, and the remaining
+// voters are spread over the data centres.
 func TestSetOfTooManyVotersShrinks(t *testing.T) {
 	st := statusOf(Config{Voters: voterSet(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)})
 	for i := range st.Config.Voters {
@@ -218,10 +218,10 @@
 }
 
 // Changes continue while one replica runs but receives nothing from the leader and repeatedly sends
-// join requests. A second one loses its disk and returns. If the unreachable replica were replaced
-// as unresponsive as well, the set would have four voters. Two more disks lost at once, which five
-// replicas tolerate, would leave two of four: callers would be refused permanently, and
-// acknowledged changes would be lost.
+// join requests. A second one loses its disk and returns. If the unreachable replica were replaced as
+// unresponsive as well, the set would have four voters. Two more disks lost at once, which five
+// replicas tolerate, would leave two of four: callers would be refused permanently, and acknowledged
+// changes would be lost.
 func TestSetKeepsItsSizeWhileAReplicaIsUnreachable(t *testing.T) {
 	w, l := settledNetwork(t, 5)
 	others := w.others(l)
@@ -258,8 +258,8 @@
 	}
 }
 
-// A voter that sends no responses but still sends join requests is alive: something keeps the
-// leader from reaching it. A new replica must not replace it.
+// A voter that sends no responses but still sends join requests is alive: something keeps the leader
+// from reaching it. A new replica must not replace it.
 func TestVoterThatSendsJoinRequestsIsNotUnresponsive(t *testing.T) {
 	w, l := settledNetwork(t, 3)
 	unreachable := w.others(l)[0]
@@ -281,8 +281,8 @@
 	}
 }
 
-// While a voter is being replaced, old and new voters both count: a majority of the new ones may be
-// no majority of the old ones, and those could elect another leader or commit other entries.
+// While a voter is being replaced, old and new voters both count: a majority of the new ones may be no
+// majority of the old ones, and those could elect another leader or commit other entries.
 func TestJointSetNeedsBothMajorities(t *testing.T) {
 	joint := Config{Voters: voterSet(1, 2, 3), Learners: voterSet(9)}.Replacing(3, voterSet(9)[0])
 	among := func(ids ...uint64) func(uint64) bool {
@@ -333,9 +333,9 @@
 	hostStates
 )
 
-// modelStatus builds the leader's status of a set in which each host but the leader's has a state.
-// If newReplica is set, there is also a caught-up learner on another host. identities holds the IDs
-// that exist: a host that does not respond may be alive.
+// modelStatus builds the leader's status of a set in which each host but the leader's has a state. If
+// newReplica is set, there is also a caught-up learner on another host. identities holds the IDs that
+// exist: a host that does not respond may be alive.
 func modelStatus(states []hostState, newReplica bool) (st Status, identities map[uint64]bool) {
 	st = Status{ID: 1, Role: Leader, Last: 1000, Match: make(map[uint64]uint64)}
 	identities = map[uint64]bool{1: true}
@@ -369,8 +369,8 @@
 	return st, identities
 }
 
-// overlap reports whether every majority of one configuration shares a member with every majority
-// of the other.
+// overlap reports whether every majority of one configuration shares a member with every majority of
+// the other.
 func overlap(a, b Config) bool {
 	var ids []uint64
 	for _, r := range append(a.Members(), b.Members()...) {
@@ -391,8 +391,8 @@
 }
 
 // Covers all sets of three and five in every state of their hosts. The repair steps, one after the
-// other, must keep overlapping majorities, must not lower the number of tolerated losses, and must
-// end with a set of full size that has no unresponsive voter which a learner could replace.
+// other, must keep overlapping majorities, must not lower the number of tolerated losses, and must end
+// with a set of full size that has no unresponsive voter which a learner could replace.
 func TestEveryRepairOfASmallSet(t *testing.T) {
 	for _, n := range []int{3, 5} {
 		tolerance := (n - 1) / 2
--- a/quorum/replicaset_test.go
+++ b/quorum/replicaset_test.go
@@ -34,10 +34,10 @@
 	recovering bool
 }
 
-// replicaSet is a group in virtual time that is exposed to all faults that it must tolerate:
-// restarts of any number of hosts, cuts in one or both directions, slow links, frozen hosts,
-// leadership transfers and lost disks. At most the tolerated number of disks is lost at once, and
-// the next only after the previous ones had their time to catch up.
+// replicaSet is a group in virtual time that is exposed to all faults that it must tolerate: restarts
+// of any number of hosts, cuts in one or both directions, slow links, frozen hosts, leadership
+// transfers and lost disks. At most the tolerated number of disks is lost at once, and the next only
+// after the previous ones had their time to catch up.
 type replicaSet struct {
 	*network
 	hosts           []*host
@@ -73,8 +73,8 @@
 	return -1
 }
 
-// lost counts the hosts that are down or frozen or that lost their disk and may still be catching
-// up. A cut or slow link between two other hosts counts as the loss of one of them.
+// lost counts the hosts that are down or frozen or that lost their disk and may still be catching up.
+// A cut or slow link between two other hosts counts as the loss of one of them.
 func (s *replicaSet) lost() int {
 	lost := make(map[int]bool)
 	for i, h := range s.hosts {
@@ -277,9 +277,9 @@
 	}
 }
 
-// repairAndCheck takes the leader's next repair step and checks that it does not lower the number
-// of tolerated losses, counting only identities that exist. A spare promoted at the moment at which
-// it loses its disk counts as one of those losses.
+// repairAndCheck takes the leader's next repair step and checks that it does not lower the number of
+// tolerated losses, counting only identities that exist. A spare promoted at the moment at which it
+// loses its disk counts as one of those losses.
 func (s *replicaSet) repairAndCheck() {
 	l := s.leader()
 	if l == nil {
@@ -390,9 +390,9 @@
 	workers.Wait()
 }
 
-// Guards against repeated split elections: with this seed, three in a row were split by two
-// replicas that campaigned in the same tick. Callers would have waited for three seconds, although
-// the losses were within the tolerance.
+// Guards against repeated split elections: with this seed, three in a row were split by two replicas
+// that campaigned in the same tick. Callers would have waited for three seconds, although the losses
+// were within the tolerance.
 func TestSetWithSplitElections(t *testing.T) {
 	if err := newReplicaSet(3, 0, 8181).run(); err != nil {
 		t.Error(err)
@@ -400,16 +400,16 @@
 }
 
 // Replicas restart in any order, lose their disks, are cut off in one or both directions, have slow
-// links and freeze, and the leader changes meanwhile. Every acknowledged command must be kept,
-// there must be a leader whenever the losses are within the tolerance, no repair step may lower the
-// number of tolerated losses, and finally the set must have its full size.
+// links and freeze, and the leader changes meanwhile. Every acknowledged command must be kept, there
+// must be a leader whenever the losses are within the tolerance, no repair step may lower the number
+// of tolerated losses, and finally the set must have its full size.
 func TestSetOfThreeKeepsItsGuarantees(t *testing.T) { runSets(t, 3, 0, *setRuns) }
 
 // The same with five replicas, two of which may be lost at the same time.
 func TestSetOfFiveKeepsItsGuarantees(t *testing.T) { runSets(t, 5, 0, *setRuns) }
 
-// Spares repeatedly replace voters that become unresponsive or lose their disks, and the voters
-// must finally be spread over the data centres.
+// Spares repeatedly replace voters that become unresponsive or lose their disks, and the voters must
+// finally be spread over the data centres.
 func TestSetWithSparesKeepsItsGuarantees(t *testing.T) {
 	runSets(t, 3, 1, *setRuns/4)
 	runSets(t, 5, 5, *setRuns/4)
--- a/quorum/spread.go
+++ b/quorum/spread.go
@@ -38,8 +38,8 @@
 }
 
 // spreadVoters swaps a voter of the data centre with the most voters for a spare in one with at
-// least two fewer, provided that the set currently has the required tolerance: at its full size,
-// that every voter responds.
+// least two fewer, provided that the set currently has the required tolerance: at its full size, that
+// every voter responds.
 func spreadVoters(st Status, tolerance int) (Config, bool) {
 	l, ok := bestSpare(st)
 	if !ok || l.DataCentre == "" || st.MajorityMargin() < tolerance {
--- a/score/world.go
+++ b/score/world.go
@@ -420,8 +420,8 @@
 	return 0, 0
 }
 
-// summarise computes the latencies, the remaining deadlines and the longest urgent start of the
-// row. Urgent is infinite if an urgent task never started.
+// summarise computes the latencies, the remaining deadlines and the longest urgent start of the row.
+// Urgent is infinite if an urgent task never started.
 func (w *world) summarise() {
 	w.row.P99, w.row.P999 = relativeQuantile(w.samples, 0.99), relativeQuantile(w.samples, 0.999)
 	w.row.PeakP99 = relativeQuantile(w.peak, 0.99)
--- a/upkeep/next.go
+++ b/upkeep/next.go
@@ -121,8 +121,8 @@
 	return in.timeInPhase(p) >= in.drainTime(r, p.SinceMS) && in.MayStop(p.Worker)
 }
 
-// drainTime returns how long a machine may take to become empty without delaying the wave: its
-// share of the time left when it began, less the time for which it is down.
+// drainTime returns how long a machine may take to become empty without delaying the wave: its share
+// of the time left when it began, less the time for which it is down.
 func (in *Input) drainTime(r *WaveProgress, sinceMS int64) time.Duration {
 	left := 0
 	for i := range r.Machines {
--- a/upkeep/state.go
+++ b/upkeep/state.go
@@ -111,8 +111,8 @@
 	return out
 }
 
-// Workers returns the workers noted in unfinished waves, ordered by the time of their machines'
-// last marks.
+// Workers returns the workers noted in unfinished waves, ordered by the time of their machines' last
+// marks.
 func (s *State) Workers() (out []string) {
 	var known []*Progress
 	for _, n := range s.numbers() {
--- a/upkeep/types.go
+++ b/upkeep/types.go
@@ -1,8 +1,8 @@
-// Package upkeep manages the upkeep of the machines below the workers. Operators request waves:
-// each machine of a wave goes down once, within a time limit, and at most a given number of
-// machines is down at a time. State is a pure state machine under the quorum's log, and Next
-// decides from a snapshot without side effects. An order to a machine is committed before it is
-// sent, so that a new leader knows which orders may have been carried out.
+// Package upkeep manages the upkeep of the machines below the workers. Operators request waves: each
+// machine of a wave goes down once, within a time limit, and at most a given number of machines is
+// down at a time. State is a pure state machine under the quorum's log, and Next decides from a
+// snapshot without side effects. An order to a machine is committed before it is sent, so that a
+// new leader knows which orders may have been carried out.
 package upkeep
 
 import (
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// The worker of a machine in a wave has running tasks, one of which must not be stopped now. It
-// must get no new tasks and time to become empty. After its drain time it goes down with what still
+// The worker of a machine in a wave has running tasks, one of which must not be stopped now. It must
+// get no new tasks and time to become empty. After its drain time it goes down with what still
 // runs, but never with that task.
 func TestWorkerIsDrainedFirst(t *testing.T) {
 	f := newFleet(t, 2)
@@ -172,10 +172,9 @@
 	}
 }
 
-// Orders are lost or carried out without an answer, and the leader may change between any two
-// steps, so that each decision is made from the committed state alone. Workers crash and restart,
-// and machines are removed. No machine may go down twice, the limit must hold, and the wave must
-// end.
+// Orders are lost or carried out without an answer, and the leader may change between any two steps,
+// so that each decision is made from the committed state alone. Workers crash and restart, and
+// machines are removed. No machine may go down twice, the limit must hold, and the wave must end.
 func TestWaveSurvivesLostAnswers(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
