--- a/control/admission.go
+++ b/control/admission.go
@@ -37,9 +37,9 @@
 	return e
 }
 
-// unadvisedRetry is the retry delay for a queue that needs an advisor while none is set: an
+// noAdvisorRetry is the retry delay for a queue that needs an advisor while none is set: an
 // operator has to change the settings first.
-const unadvisedRetry = 5 * time.Second
+const noAdvisorRetry = 5 * time.Second
 
 // judgeAndReserve judges a job and, if its standing tasks are admitted, reserves the CPU that
 // they need until the submission is committed. Concurrent calls are judged one after the other.
@@ -77,7 +77,7 @@
 			return
 		}
 		if q.Advice != nil && d.advice.advisor == nil {
-			v = dispatch.Verdict{Refuse: true, NoAdvisor: true, RetryAfter: unadvisedRetry}
+			v = dispatch.Verdict{Refuse: true, NoAdvisor: true, RetryAfter: noAdvisorRetry}
 			return
 		}
 		v = dispatch.Admit(d.input(s), q, &c.Spec)
--- a/control/headroom.go
+++ b/control/headroom.go
@@ -49,7 +49,7 @@
 	reportedAt time.Time
 	// spare is the headroom that filling work may take.
 	spare     float64
-	wave      *interference.HeadroomForecast
+	forecast  *interference.HeadroomForecast
 	clockZero time.Time // zero of the agent's clock on the leader's clock
 }
 
@@ -116,9 +116,9 @@
 	at := time.Duration(r.AtMS) * time.Millisecond
 	if reset {
 		s.clockZero = now.Add(-at)
-		s.wave = interference.NewHeadroomForecast(now, l.mean, math.Max(l.variance(), minVariance))
+		s.forecast = interference.NewHeadroomForecast(now, l.mean, math.Max(l.variance(), minVariance))
 	}
-	s.wave.Read(s.clockZero.Add(at), r.Own, &h.periods)
+	s.forecast.Read(s.clockZero.Add(at), r.Own, &h.periods)
 }
 
 // forget drops serving groups that have not been reported recently: tasks that ended, and workers
@@ -171,7 +171,7 @@
 	least = math.Inf(1)
 	for key, s := range h.groups[worker] {
 		if key.image == serving && now.Sub(s.reportedAt) <= groupTTL {
-			least, known = math.Min(least, s.wave.Min(now, forecastWindow, forecastDeviations, &h.periods)), true
+			least, known = math.Min(least, s.forecast.Min(now, forecastWindow, forecastDeviations, &h.periods)), true
 		}
 	}
 	return least, known
--- a/interference/forecast_test.go
+++ b/interference/forecast_test.go
@@ -45,11 +45,11 @@
 // with the forecast and the true minimum of the headroom during the next run.
 func (w *forecaster) follow(own headroomFunc, from, to float64, f func(at, forecast, truth float64)) {
 	const readingNoise = 0.15
-	wave := NewHeadroomForecast(w.start.Add(seconds(from)), 2.5, 0.6)
+	forecast := NewHeadroomForecast(w.start.Add(seconds(from)), 2.5, 0.6)
 	for s := from; s < to; s += readingGap {
 		at := w.start.Add(seconds(s))
-		wave.Read(at, own(s)+readingNoise*w.rng.NormFloat64(), &w.periods)
-		f(s, wave.Min(at, seconds(runTime), 0, &w.periods), own.least(s))
+		forecast.Read(at, own(s)+readingNoise*w.rng.NormFloat64(), &w.periods)
+		f(s, forecast.Min(at, seconds(runTime), 0, &w.periods), own.least(s))
 	}
 }
 
--- a/jobs/crash.go
+++ b/jobs/crash.go
@@ -47,8 +47,8 @@
 // two more starts after the third. So the fifth crash should be the last for the task that causes
 // them, whatever ran beside it before: from then on it is enough that the crash does not lower
 // the odds of a suspect, since a task that takes up to a second to crash its worker does not stand
-// out more than that. Suspects start isolated by then (see SuspicionLevel); a crash that lowers a task's
-// odds, or that first makes it a suspect, may well have another cause.
+// out more than that. Suspects start isolated by then (see SuspicionLevel); a crash that lowers a
+// task's odds, or that first makes it a suspect, may well have another cause.
 func (s *Suspicion) shouldGiveUp(before int64) bool {
 	switch {
 	case s.Crashes < 2:
--- a/jobs/state.go
+++ b/jobs/state.go
@@ -13,8 +13,8 @@
 type State struct {
 	Jobs    map[string]*Job    `msgpack:"j"`
 	Workers map[string]*Worker `msgpack:"w"` // by worker id
-	// ServiceDataCentres lists, by service, the data centres in which its workers are or have been, sorted. It
-	// keeps a data centre whose only worker is being restarted.
+	// ServiceDataCentres lists, by service, the data centres in which its workers are or have been,
+	// sorted. It keeps a data centre whose only worker is being restarted.
 	ServiceDataCentres map[string][]string `msgpack:"s,omitempty"`
 	// Tokens holds, by agent, the highest fencing token with which it has registered. Entries
 	// outlive the registrations, so that delayed registrations are not taken for new ones.
@@ -201,8 +201,8 @@
 		t.Placed != nil && !t.Placed.Stopping && t.Copy == nil
 }
 
-// CopyCandidates returns the running tasks that may have a copy, have none, and for which test returns
-// true, in order.
+// CopyCandidates returns the running tasks that may have a copy, have none, and for which test
+// returns true, in order.
 func (s *State) CopyCandidates(test func(Ref, *Group) bool) []Ref {
 	var refs []Ref
 	for ref := range s.copyable {
@@ -230,7 +230,8 @@
 	return out
 }
 
-// TakeChangedWorkers returns the workers whose orders changed since the last call, and resets the list.
+// TakeChangedWorkers returns the workers whose orders changed since the last call, and resets the
+// list.
 func (s *State) TakeChangedWorkers() []string {
 	t := s.changed
 	s.changed = nil
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -44,8 +44,8 @@
 // that was not added is treated as one from before the leadership.
 func (k *Keeper[Holder]) Add(holder Holder, now time.Time) { k.AddWithTerm(holder, now, k.term) }
 
-// AddWithTerm is like Add for a holder that may have been granted another term elsewhere until now. The
-// longer of the two terms counts.
+// AddWithTerm is like Add for a holder that may have been granted another term elsewhere until now.
+// The longer of the two terms counts.
 func (k *Keeper[Holder]) AddWithTerm(holder Holder, now time.Time, term time.Duration) {
 	if k.leases[holder] == nil {
 		k.leases[holder] = &leaseEntry{expires: now.Add(WithMargin(max(term, k.term))), granted: now}
