--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -51,7 +51,7 @@
 
 	mu            sync.Mutex
 	term          uint64
-	keeper        *lease.Keeper[holder]
+	leases        *lease.Table[holder]
 	watchers      map[string]chan struct{} // by worker id
 	avoided       map[string]time.Time     // until when a worker gets no new tasks, by worker id
 	clock         *duetime
@@ -83,7 +83,7 @@
 }
 
 func (d *dispatcher) reset(term uint64) {
-	d.term, d.keeper = term, lease.NewKeeper[holder](d.r.set.Control.Lease.Duration, time.Now())
+	d.term, d.leases = term, lease.NewTable[holder](d.r.set.Control.Lease.Duration, time.Now())
 	d.avoided = make(map[string]time.Time)
 	d.clock = newDuetime(time.Now())
 	d.overSince = make(map[string]time.Time)
--- a/control/leader.go
+++ b/control/leader.go
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex
 	term     uint64
-	keeper   *lease.Keeper[string] // by agent
+	leases   *lease.Table[string] // by agent
 	sessions map[string]*session
 	model    *interference.Model
 	baseline *interference.Baseline
@@ -51,7 +51,7 @@
 }
 
 func (l *leader) reset(term uint64) {
-	l.term, l.keeper = term, lease.NewKeeper[string](l.r.set.Control.Lease.Duration, time.Now())
+	l.term, l.leases = term, lease.NewTable[string](l.r.set.Control.Lease.Duration, time.Now())
 	l.sessions = make(map[string]*session)
 	l.holdings = make(map[string]*holding)
 	l.throttled = make(map[string]uint32)
@@ -117,7 +117,7 @@
 		term = l.term
 		for _, m := range s.Members.Members {
 			if m.Phase == membership.Down {
-				l.keeper.Reopen(m.Agent) // the expiry is committed
+				l.leases.Reopen(m.Agent) // the expiry is committed
 			} else if mv, ok := l.expired(m); ok {
 				moves = append(moves, mv)
 			}
@@ -149,8 +149,8 @@
 
 func (l *leader) expired(m *membership.Member) (membership.Move, bool) {
 	now := time.Now()
-	l.keeper.Add(m.Agent, now) // the member may be in the state before its handler has recorded the lease
-	if !l.keeper.Close(m.Agent, now) {
+	l.leases.Add(m.Agent, now) // the member may be in the state before its handler has recorded the lease
+	if !l.leases.Close(m.Agent, now) {
 		return membership.Move{}, false
 	}
 	return membership.Move{Agent: m.Agent, Boot: m.Boot, Phase: membership.Down, Reason: "its lease ended without a renewal"}, true
@@ -160,7 +160,7 @@
 func (l *leader) grant(req *Renew) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.keeper.Grant(req.Member.Agent, time.Now()) {
+	if !l.leases.Grant(req.Member.Agent, time.Now()) {
 		e := refusal.New(refusal.Unreachable, "renew again in a moment", "the lease of %s is just being ended", req.Member.Agent)
 		e.RetryAfter = watchInterval
 		return e
--- a/control/leases.go
+++ b/control/leases.go
@@ -48,7 +48,7 @@
 	if w.LateLease {
 		term = d.r.set.Control.LongestLease.Duration
 	}
-	d.keeper.AddWithTerm(holderOf(w), now, term)
+	d.leases.AddWithTerm(holderOf(w), now, term)
 }
 
 func (d *dispatcher) extend(w *jobs.Worker) error {
@@ -56,7 +56,7 @@
 	defer d.mu.Unlock()
 	h, now := holderOf(w), time.Now()
 	d.track(w, now)
-	if d.keeper.Grant(h, now) {
+	if d.leases.Grant(h, now) {
 		return nil
 	}
 	e := refusal.New(refusal.Unreachable, "ask again in a moment", "the lease of worker %s is just being ended", h.Worker)
@@ -104,17 +104,17 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		now := time.Now() // taken with both locks held, so that all grants so far precede it
-		l.term, l.leadingFor, l.applied = d.term, d.keeper.Age(now), s.Index
-		d.keeper.Retain(s.Jobs.IsRegistered)
+		l.term, l.leadingFor, l.applied = d.term, d.leases.Age(now), s.Index
+		d.leases.Retain(s.Jobs.IsRegistered)
 		for _, w := range s.Jobs.Workers {
 			d.track(w, now)
-			if d.keeper.Close(holderOf(w), now) {
+			if d.leases.Close(holderOf(w), now) {
 				l.workers = append(l.workers, holderOf(w))
 			}
 		}
 		slices.SortFunc(l.workers, func(a, b holder) int { return strings.Compare(a.Worker, b.Worker) })
 		for _, x := range l.workers {
-			l.sinceGrant = append(l.sinceGrant, d.keeper.SinceGrant(x, now))
+			l.sinceGrant = append(l.sinceGrant, d.leases.SinceGrant(x, now))
 		}
 	})
 	return l
--- a/control/loss_test.go
+++ b/control/loss_test.go
@@ -72,7 +72,7 @@
 	var w jobs.Worker
 	l.machine.Read(func(s *State) { w = *s.Jobs.Workers["w"] })
 	d.mu.Lock()
-	closed := d.keeper.Close(holderOf(&w), time.Now().Add(2*testTerm))
+	closed := d.leases.Close(holderOf(&w), time.Now().Add(2*testTerm))
 	d.mu.Unlock()
 	if !closed {
 		t.Fatal("the lease could not be closed")
--- a/proof/tasks_test.go
+++ b/proof/tasks_test.go
@@ -54,7 +54,7 @@
 	now          int64 // in milliseconds
 	index        uint64
 	state        *control.State
-	leases       *lease.Keeper[string]
+	leases       *lease.Table[string]
 	hosts        []*host
 	expired      []membership.Move // expired leases whose end is decided but not committed
 	rng          *rand.Rand
@@ -66,7 +66,7 @@
 
 func newSystem(seed int64) *system {
 	s := &system{now: 1_000_000, state: control.NewState(), rng: rand.New(rand.NewSource(seed)), lostAttempts: make(map[worker.Ref]bool)}
-	s.leases = lease.NewKeeper[string](term, s.time())
+	s.leases = lease.NewTable[string](term, s.time())
 	s.commit(control.Command{Change: &market.Change{ID: "t", Verb: market.PutTeam, Team: &market.Team{Name: "team"}}})
 	s.commit(control.Command{Change: &market.Change{ID: "m", Verb: market.PutMarket, Market: "vault"}})
 	s.commit(control.Command{Change: &market.Change{ID: "j", Base: 2, Verb: market.PutJob, Market: "vault", Job: &market.Job{
@@ -282,7 +282,7 @@
 	case opAgentRestart:
 		h.ledger = agent.NewLedger()
 	case opNewLeader:
-		s.leases, s.expired = lease.NewKeeper[string](term, s.time()), nil
+		s.leases, s.expired = lease.NewTable[string](term, s.time()), nil
 	case opExpire:
 		s.expire()
 	case opCommitExpired:
