--- a/proof/simulation_events_test.go
+++ b/proof/simulation_events_test.go
@@ -390,7 +390,7 @@
 	w.recordToken(t.Token)
 	reply, err := r.Hold(runner.HoldCall{Target: runner.Target{Worker: r.Name(), Token: t.Token}})
 	if err == nil && reply.Verdict == runner.VerdictDone {
-		return runner.VerdictElsewhere, nil
+		return runner.VerdictOtherIncarnation, nil
 	}
 	return reply.Verdict, err
 }
--- a/runner/announce.go
+++ b/runner/announce.go
@@ -153,12 +153,12 @@
 // would make the control treat the newer incarnation's runs as ended while they continue.
 func (r *Runner) answersAs(worker string) bool {
 	reply, err := r.worker.Hold(HoldCall{Target: Target{worker, r.tokens.current()}})
-	return err == nil && reply.Verdict != VerdictElsewhere
+	return err == nil && reply.Verdict != VerdictOtherIncarnation
 }
 
 // answersAsOther reports whether the worker answers as another incarnation. An announced
 // worker that does not answer is accepted: it may still be starting.
 func (r *Runner) answersAsOther(worker string) bool {
 	reply, err := r.worker.Hold(HoldCall{Target: Target{worker, r.tokens.current()}})
-	return err == nil && reply.Verdict == VerdictElsewhere
+	return err == nil && reply.Verdict == VerdictOtherIncarnation
 }
--- a/runner/fakes_test.go
+++ b/runner/fakes_test.go
@@ -79,7 +79,7 @@
 		} else if w.sameID { // the identity check carries the call's token
 			w.token = max(w.token, t.Token)
 		}
-		r.Verdict = VerdictElsewhere
+		r.Verdict = VerdictOtherIncarnation
 	case t.Token < w.token:
 		r.Verdict = VerdictFenced
 	default:
--- a/runner/guard.go
+++ b/runner/guard.go
@@ -105,7 +105,7 @@
 	case errors.Is(err, ErrClosed):
 		s.switchToReserveToken()
 	case err != nil:
-	case reply.Verdict == VerdictElsewhere:
+	case reply.Verdict == VerdictOtherIncarnation:
 		s.successorAnswered(to, known)
 	case reply.Verdict == VerdictFenced && s.fenced.Load() && to.Token == s.token.Load():
 		s.guardDone.Store(true) // a later session has a higher token
--- a/runner/liveness.go
+++ b/runner/liveness.go
@@ -55,7 +55,7 @@
 	if worker != l.worker || !l.replaced.IsZero() {
 		return false, false
 	}
-	fails := err != nil || v == VerdictElsewhere
+	fails := err != nil || v == VerdictOtherIncarnation
 	if !fails {
 		ended = !l.failingSince.IsZero()
 		l.answered, l.failingSince, l.closed = now, time.Time{}, time.Time{}
@@ -78,7 +78,7 @@
 
 // markReplaced records that another incarnation has taken the place of this one.
 func (l *liveness) markReplaced(worker string, now time.Time) {
-	l.record(worker, VerdictElsewhere, nil, now)
+	l.record(worker, VerdictOtherIncarnation, nil, now)
 }
 
 // extendLease records that the worker knows of a lease with the given time left.
--- a/runner/run.go
+++ b/runner/run.go
@@ -249,7 +249,7 @@
 		// The lease in the call has expired by the worker's clock: nothing starts until it is
 		// extended.
 		r.awaitLease(extended)
-	case VerdictFenced, VerdictElsewhere:
+	case VerdictFenced, VerdictOtherIncarnation:
 		if !s.handleRefusal(reply.Verdict, to) {
 			r.backOff()
 		}
--- a/runner/session.go
+++ b/runner/session.go
@@ -225,7 +225,7 @@
 		return false
 	case v == VerdictFenced:
 		s.end("the worker has seen a higher fencing token")
-	case v == VerdictElsewhere:
+	case v == VerdictOtherIncarnation:
 		s.successorAnswered(to, false)
 	default:
 		return false
--- a/runner/worker.go
+++ b/runner/worker.go
@@ -81,15 +81,15 @@
 
 // The verdicts. All but VerdictDone mean that the call had no effect.
 const (
-	VerdictDone       Verdict = iota
-	VerdictFenced             // a higher token was seen
-	VerdictOld                // this run, or a higher one of the task, has ended or was stopped
-	VerdictLate               // the lease in the call has ended
-	VerdictNoCapacity         // it does not fit
-	VerdictNoTicket           // the advisor's ticket is missing or expired
-	VerdictInvalid            // the call cannot be carried out
-	VerdictBusy               // the worker is overloaded or failing
-	VerdictElsewhere          // another incarnation is at this address
+	VerdictDone             Verdict = iota
+	VerdictFenced                   // a higher token was seen
+	VerdictOld                      // this run, or a higher one of the task, has ended or was stopped
+	VerdictLate                     // the lease in the call has ended
+	VerdictNoCapacity               // it does not fit
+	VerdictNoTicket                 // the advisor's ticket is missing or expired
+	VerdictInvalid                  // the call cannot be carried out
+	VerdictBusy                     // the worker is overloaded or failing
+	VerdictOtherIncarnation         // another incarnation is at this address
 )
 
 var verdictNames = [...]string{"done", "fenced", "old", "late", "no-room", "no-ticket", "invalid", "busy", "elsewhere"}
--- a/standin/runs.go
+++ b/standin/runs.go
@@ -227,7 +227,7 @@
 	r := runner.Reply{ClockMS: w.clock()}
 	switch {
 	case t.Worker != w.worker:
-		r.Verdict = runner.VerdictElsewhere
+		r.Verdict = runner.VerdictOtherIncarnation
 	case t.Token < w.token:
 		r.Verdict = runner.VerdictFenced
 	default:
--- a/standin/runs_test.go
+++ b/standin/runs_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("%s: %v, want %v", name, c.got, c.want)
 		}
 	}
-	if r, _ := w.Hold(runner.HoldCall{Target: runner.Target{Worker: "w2", Token: 9}}); r.Verdict != runner.VerdictElsewhere {
+	if r, _ := w.Hold(runner.HoldCall{Target: runner.Target{Worker: "w2", Token: 9}}); r.Verdict != runner.VerdictOtherIncarnation {
 		t.Errorf("another incarnation: %v", r.Verdict)
 	}
 	if running, _ := w.Count(); running != 1 || len(w.Record()) != 1 {
