--- a/proof/crashing_test.go
+++ b/proof/crashing_test.go
@@ -82,7 +82,7 @@
 	t.Cleanup(func() {
 		logrus.SetOutput(os.Stderr)
 		transport.SetNetwork(nil)
-		quorum.WatchSyncs(nil)
+		quorum.ObserveSyncs(nil)
 	})
 }
 
--- a/proof/power_test.go
+++ b/proof/power_test.go
@@ -23,7 +23,7 @@
 	return &syncedFiles{t: t, sizes: make(map[string]int64), names: make(map[string]map[string]int64)}
 }
 
-// File implements quorum.SyncWatch.
+// File implements quorum.SyncObserver.
 func (f *syncedFiles) File(path string, size int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// Folder implements quorum.SyncWatch. A renamed file keeps what was synced under its temporary
+// Folder implements quorum.SyncObserver. A renamed file keeps what was synced under its temporary
 // name.
 func (f *syncedFiles) Folder(dir string) {
 	entries, err := os.ReadDir(dir)
--- a/proof/simulation_test.go
+++ b/proof/simulation_test.go
@@ -222,7 +222,7 @@
 func newSimulation(t *testing.T, ctx context.Context, seed int64, workers int, noDelays bool) *simulation {
 	s := &simulation{t: t, noDelays: noDelays, ownAgents: int(seed % 2 * fuzzWorkers), rng: rand.New(rand.NewSource(seed)), net: memnet.New(memnet.Link{}), synced: newSyncedFiles(t), dir: t.TempDir(), ctx: ctx, started: time.Now(), jobs: make(map[string]*submitted), dataCentres: make(map[string]*fuzzDataCentre)}
 	transport.SetNetwork(s.net)
-	quorum.WatchSyncs(s.synced)
+	quorum.ObserveSyncs(s.synced)
 	for i := range s.replicas {
 		s.startReplica(i)
 	}
--- a/proof/soak_disk_test.go
+++ b/proof/soak_disk_test.go
@@ -33,7 +33,7 @@
 		logrus.Fatal(err)
 	}
 	daemon.SetupLog(set.Log)
-	quorum.WatchSyncs(slowDisk(disk))
+	quorum.ObserveSyncs(slowDisk(disk))
 	if err := daemon.Run(daemon.SignalContext(), set); err != nil {
 		logrus.Errorf("daemon: %v.", err)
 		daemon.FlushLog()
@@ -46,7 +46,7 @@
 // file there is no delay.
 type slowDisk string
 
-// File implements quorum.SyncWatch.
+// File implements quorum.SyncObserver.
 func (d slowDisk) File(string, int64) {
 	b, err := os.ReadFile(string(d))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -59,7 +59,7 @@
 	time.Sleep(delay)
 }
 
-// Folder implements quorum.SyncWatch.
+// Folder implements quorum.SyncObserver.
 func (d slowDisk) Folder(string) {}
 
 // slowSomeDisks delays the syncs of some replicas for a while.
