--- a/control/catchup_test.go
+++ b/control/catchup_test.go
@@ -174,7 +174,7 @@
 	stop := make(chan struct{})
 	g.load.Go(func() { g.keepProposing(stop) })
 	g.start(away)
-	sent := g.net.Carried(g.ip(leader))
+	sent := g.net.BytesSent(g.ip(leader))
 	begun, heard := time.Now(), time.Now()
 	var r catchUpResult
 	g.await("the replica catches up", func() bool {
@@ -186,7 +186,7 @@
 		return st.Commit >= goal && st.Applied >= goal
 	})
 	r.took = time.Since(begun)
-	r.bytes = g.net.Carried(g.ip(leader)) - sent - int64(r.took.Seconds()*float64(g.plan.perSecond*g.plan.entryBytes*(groupSize-1)))
+	r.bytes = g.net.BytesSent(g.ip(leader)) - sent - int64(r.took.Seconds()*float64(g.plan.perSecond*g.plan.entryBytes*(groupSize-1)))
 	close(stop)
 	g.load.Wait()
 	return r
--- a/memnet/memnet.go
+++ b/memnet/memnet.go
@@ -88,16 +88,16 @@
 	n.isolated[ip] = on
 }
 
-// Carried returns the number of bytes that a host has sent.
-func (n *Network) Carried(ip string) int64 {
+// BytesSent returns the number of bytes that a host has sent.
+func (n *Network) BytesSent(ip string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.bytesSent[ip]
 }
 
-// Messages returns the number of messages, requests and responses, that a host has sent. It
+// MessagesSent returns the number of messages, requests and responses, that a host has sent. It
 // counts writes: each message is a single write unless it is long.
-func (n *Network) Messages(ip string) int64 {
+func (n *Network) MessagesSent(ip string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.messagesSent[ip]
--- a/proof/growth_test.go
+++ b/proof/growth_test.go
@@ -121,12 +121,12 @@
 // those of all agents together.
 func (f *sizedFleet) traffic() (messages, bytes []int64) {
 	for i := range f.controls {
-		messages, bytes = append(messages, f.net.Messages(f.replicaIP(i))), append(bytes, f.net.Carried(f.replicaIP(i)))
+		messages, bytes = append(messages, f.net.MessagesSent(f.replicaIP(i))), append(bytes, f.net.BytesSent(f.replicaIP(i)))
 	}
 	messages, bytes = append(messages, 0), append(bytes, 0)
 	for i := range f.hosts {
-		messages[len(f.controls)] += f.net.Messages(f.agentIP(i))
-		bytes[len(f.controls)] += f.net.Carried(f.agentIP(i))
+		messages[len(f.controls)] += f.net.MessagesSent(f.agentIP(i))
+		bytes[len(f.controls)] += f.net.BytesSent(f.agentIP(i))
 	}
 	return messages, bytes
 }
