--- a/agent/agent.go
+++ b/agent/agent.go
@@ -248,9 +248,9 @@
 	g.leaseEnd.Store(int64(sent.Add(time.Duration(a.LeaseMS) * time.Millisecond).Sub(g.started)))
 	g.storeMarkets(a)
 	if a.Changed {
-		g.ledger.Replace(req.Member.Boot, a.Orders)
+		g.ledger.SetOrders(req.Member.Boot, a.Orders)
 	}
-	g.ledger.Throttle(a.Throttle)
+	g.ledger.SetThrottled(a.Throttle)
 	// An answer older than StartWord no longer confirms that the data centre is in service.
 	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
 	if workerAddr != "" {
@@ -292,7 +292,7 @@
 		logrus.Warnf("agent: Could not read the worker's report: %v.", err)
 		return r, false
 	}
-	g.ledger.Observe(r)
+	g.ledger.SetReport(r)
 	return r, true
 }
 
@@ -303,7 +303,7 @@
 		logrus.Warnf("agent: Could not send commands to the worker: %v.", err)
 		return
 	}
-	g.ledger.Observe(r)
+	g.ledger.SetReport(r)
 }
 
 func (g *Agent) callWorker(addr, method, path string, body, out any) error {
--- a/agent/ledger.go
+++ b/agent/ledger.go
@@ -15,11 +15,11 @@
 // report of the worker. It derives the worker's commands and the ends to report. It does no
 // I/O and is not safe for concurrent use.
 type Ledger struct {
-	boot     string
-	capacity resource.Vector
-	orders   map[string]lease.Order
-	report   map[worker.Ref]worker.TaskReport
-	throttle []string
+	boot      string
+	capacity  resource.Vector
+	orders    map[string]lease.Order
+	report    map[worker.Ref]worker.TaskReport
+	throttled []string
 	// cordoned is set while the data centre is out of service: ordered attempts that have
 	// not started are returned to the control.
 	cordoned bool
@@ -30,9 +30,9 @@
 	return &Ledger{orders: make(map[string]lease.Order), report: make(map[worker.Ref]worker.TaskReport)}
 }
 
-// Observe records a worker's report. A new boot discards all orders for the previous one; the
+// SetReport records a worker's report. A new boot discards all orders for the previous one; the
 // control learns of it from the next renewal.
-func (l *Ledger) Observe(r worker.Report) {
+func (l *Ledger) SetReport(r worker.Report) {
 	if r.Boot != l.boot {
 		l.boot = r.Boot
 		l.orders = make(map[string]lease.Order)
@@ -78,9 +78,9 @@
 
 func refOf(o lease.Order) worker.Ref { return worker.Ref{Task: o.Task, Attempt: o.Attempt} }
 
-// Replace sets the control's orders. boot is the one that the renewal reported; orders for
+// SetOrders sets the control's orders. boot is the one that the renewal reported; orders for
 // another boot are ignored, since they would start tasks on the wrong worker process.
-func (l *Ledger) Replace(boot string, orders []lease.Order) {
+func (l *Ledger) SetOrders(boot string, orders []lease.Order) {
 	if boot != l.boot {
 		return
 	}
@@ -96,8 +96,8 @@
 // Cordoned returns the value last set by SetCordoned.
 func (l *Ledger) Cordoned() bool { return l.cordoned }
 
-// Throttle sets the tasks to be throttled.
-func (l *Ledger) Throttle(tasks []string) { l.throttle = tasks }
+// SetThrottled sets the tasks to be throttled.
+func (l *Ledger) SetThrottled(tasks []string) { l.throttled = tasks }
 
 // Commands returns the commands for the worker under a lease that ends at untilMS, in
 // milliseconds of the worker's clock.
@@ -106,7 +106,7 @@
 // commands sent: a task that is being stopped keeps its resources until the worker confirms
 // the stop.
 func (l *Ledger) Commands(untilMS int64) worker.Sync {
-	s := worker.Sync{Boot: l.boot, UntilMS: untilMS, Throttle: l.throttle}
+	s := worker.Sync{Boot: l.boot, UntilMS: untilMS, Throttle: l.throttled}
 	free := l.capacity
 	for ref, t := range l.report {
 		if t.Running {
--- a/agent/ledger_test.go
+++ b/agent/ledger_test.go
@@ -16,14 +16,14 @@
 func TestStartWaitsForFreeCapacityReportedByWorker(t *testing.T) {
 	l := NewLedger()
 	running := worker.TaskReport{Task: "old", Attempt: 1, Need: milliCPU(1500), Running: true}
-	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
-	l.Replace("b", []lease.Order{{Task: "new", Attempt: 1, Need: milliCPU(1000)}})
+	l.SetReport(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
+	l.SetOrders("b", []lease.Order{{Task: "new", Attempt: 1, Need: milliCPU(1000)}})
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "old" {
 		t.Fatalf("started before capacity was free: %+v", s)
 	}
 	running.Running, running.Outcome = false, lease.OutcomeStopped
-	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
+	l.SetReport(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
 	if s = l.Commands(100); len(s.Start) != 1 || len(s.Forget) != 1 {
 		t.Fatalf("not started when capacity was free: %+v", s)
 	}
@@ -33,9 +33,9 @@
 // If they were applied, tasks that the control is placing elsewhere would run twice.
 func TestOrdersForAnotherBootAreDropped(t *testing.T) {
 	l := NewLedger()
-	l.Observe(worker.Report{Boot: "b1", Capacity: milliCPU(2000)})
-	l.Observe(worker.Report{Boot: "b2", Capacity: milliCPU(2000)})
-	l.Replace("b1", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(1)}})
+	l.SetReport(worker.Report{Boot: "b1", Capacity: milliCPU(2000)})
+	l.SetReport(worker.Report{Boot: "b2", Capacity: milliCPU(2000)})
+	l.SetOrders("b1", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(1)}})
 	if s := l.Commands(100); len(s.Start) != 0 || s.Boot != "b2" {
 		t.Fatalf("orders for another boot were applied: %+v", s)
 	}
@@ -48,14 +48,14 @@
 func TestOrderedAttemptIsRejectedOutOfService(t *testing.T) {
 	l := NewLedger()
 	running := worker.TaskReport{Task: "old", Attempt: 1, Need: milliCPU(1), Running: true}
-	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
-	l.Replace("b", []lease.Order{{Task: "old", Attempt: 1, Need: milliCPU(1)}, {Task: "new", Attempt: 1, Need: milliCPU(1)}})
+	l.SetReport(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running}})
+	l.SetOrders("b", []lease.Order{{Task: "old", Attempt: 1, Need: milliCPU(1)}, {Task: "new", Attempt: 1, Need: milliCPU(1)}})
 	l.SetCordoned(true)
 	s := l.Commands(100)
 	if len(s.Start) != 0 || len(s.Stop) != 1 || s.Stop[0].Task != "new" {
 		t.Fatalf("want only a stop of the attempt that has not started, got %+v", s)
 	}
-	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running, {Task: "new", Attempt: 1, Outcome: lease.OutcomeRejected}}})
+	l.SetReport(worker.Report{Boot: "b", Capacity: milliCPU(2000), Tasks: []worker.TaskReport{running, {Task: "new", Attempt: 1, Outcome: lease.OutcomeRejected}}})
 	ends := l.Ends()
 	if len(ends) != 1 || ends[0].Task != "new" || ends[0].Outcome != lease.OutcomeRejected {
 		t.Fatalf("ends: %+v", ends)
@@ -71,8 +71,8 @@
 // can run elsewhere. Otherwise it stays placed here for ever without starting.
 func TestTooLargeTaskIsRejected(t *testing.T) {
 	l := NewLedger()
-	l.Observe(worker.Report{Boot: "b", Capacity: milliCPU(2000)})
-	l.Replace("b", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(3000)}})
+	l.SetReport(worker.Report{Boot: "b", Capacity: milliCPU(2000)})
+	l.SetOrders("b", []lease.Order{{Task: "t", Attempt: 1, Need: milliCPU(3000)}})
 	ends := l.Ends()
 	if len(ends) != 1 || ends[0].Outcome != lease.OutcomeRejected {
 		t.Fatalf("ends: %+v", ends)
--- a/proof/session_test.go
+++ b/proof/session_test.go
@@ -32,7 +32,7 @@
 // round performs a renewal of a host and records all messages in it.
 func (s *session) round(i int) {
 	h := s.hosts[i]
-	h.ledger.Observe(h.worker.Report(h.clock(s.now)))
+	h.ledger.SetReport(h.worker.Report(h.clock(s.now)))
 	for _, e := range h.ledger.Ends() {
 		s.record(h.name, e)
 	}
--- a/proof/tasks_test.go
+++ b/proof/tasks_test.go
@@ -132,7 +132,7 @@
 	if h.frozen || h.cut {
 		return
 	}
-	h.ledger.Observe(h.worker.Report(h.clock(s.now)))
+	h.ledger.SetReport(h.worker.Report(h.clock(s.now)))
 	until := h.clock(s.now) + term.Milliseconds()
 	m := membership.Member{Agent: h.name, Address: "127.0.0.1:1", Boot: h.ledger.Boot(), Capacity: h.ledger.Capacity()}
 	known := s.state.Members.Members[h.name]
@@ -147,7 +147,7 @@
 	}
 	orders := s.state.Tasks.Orders(h.name)
 	if lease.Digest(orders) != h.ledger.Digest() {
-		h.ledger.Replace(m.Boot, orders)
+		h.ledger.SetOrders(m.Boot, orders)
 	}
 	cmd := h.ledger.Commands(until)
 	w := h.worker
@@ -161,7 +161,7 @@
 		return
 	}
 	deliver()
-	h.ledger.Observe(h.worker.Report(h.clock(s.now)))
+	h.ledger.SetReport(h.worker.Report(h.clock(s.now)))
 }
 
 // expire decides which leases have ended. commitExpired commits that, possibly much later and
@@ -312,10 +312,10 @@
 func (s *system) throttle(h *host, n int) {
 	orders := s.state.Tasks.Orders(h.name)
 	if n%2 == 0 || len(orders) == 0 {
-		h.ledger.Throttle(nil)
+		h.ledger.SetThrottled(nil)
 		return
 	}
-	h.ledger.Throttle([]string{orders[n%len(orders)].Task})
+	h.ledger.SetThrottled([]string{orders[n%len(orders)].Task})
 }
 
 // commitAgain commits an earlier report or plan again, as after a lost answer.
@@ -330,7 +330,7 @@
 func (s *system) finish() {
 	for _, h := range s.hosts {
 		h.frozen, h.cut = false, false
-		h.ledger.Throttle(nil)
+		h.ledger.SetThrottled(nil)
 	}
 	for range 3000 {
 		s.now += stepMS
--- a/standin/agents.go
+++ b/standin/agents.go
@@ -78,7 +78,7 @@
 
 func (a *Agents) renew(i int, client *control.Client, w *Worker, l *agent.Ledger, started time.Time) {
 	now := time.Since(started).Milliseconds()
-	l.Observe(w.Report(now))
+	l.SetReport(w.Report(now))
 	req := control.Renew{Member: membership.Member{Agent: fmt.Sprintf("session-%04d", i), Address: "127.0.0.1:9", DataCentre: fmt.Sprint("dc", i%8),
 		Rack: fmt.Sprint("rack-", i/20), Boot: w.Boot, Capacity: w.Capacity, Market: a.o.Market, Service: a.o.Service, Slots: 8, Conns: 64},
 		Digest: l.Digest(), Ends: l.Ends(), Revision: a.Revision[i].Load()}
@@ -90,7 +90,7 @@
 	a.Renewals.Add(1)
 	a.Revision[i].Store(max(a.Revision[i].Load(), ans.Revision))
 	if ans.Changed {
-		l.Replace(w.Boot, ans.Orders)
+		l.SetOrders(w.Boot, ans.Orders)
 	}
 	cmd := l.Commands(now + ans.LeaseMS)
 	a.Started.Add(int64(len(cmd.Start)))
