--- a/control/leader.go
+++ b/control/leader.go
@@ -226,7 +226,7 @@
 	known := false
 	r.machine.Read(func(s *State) {
 		m := s.Members.Members[req.Member.Agent]
-		known = m != nil && m.Same(req.Member) && m.Phase != membership.Down
+		known = m != nil && m.SameAnnouncement(req.Member) && m.Phase != membership.Down
 	})
 	if known {
 		return nil
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -61,8 +61,8 @@
 	return m
 }
 
-// Same reports whether m and o agree in all fields that announcements determine.
-func (m Member) Same(o Member) bool { return m.announced() == o.announced() }
+// SameAnnouncement reports whether m and o agree in all fields that announcements determine.
+func (m Member) SameAnnouncement(o Member) bool { return m.announced() == o.announced() }
 
 // Validate checks an announcement. The error is a refusal of code Invalid.
 func (m Member) Validate() error {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -43,7 +43,7 @@
 	if changed := s.ChangedSince(2); len(changed) != 1 || changed[0].Agent != "a" || !changed[0].Cordoned {
 		t.Errorf("entries are notified of %+v", changed)
 	}
-	if !s.Members["a"].Same(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}) {
+	if !s.Members["a"].SameAnnouncement(Member{Agent: "a", Boot: "b", DataCentre: "hall-a"}) {
 		t.Error("the agent's next heartbeat counts as a change")
 	}
 	s.ApplyCordon("hall-a", false, 4)
--- a/proof/tasks_test.go
+++ b/proof/tasks_test.go
@@ -136,7 +136,7 @@
 	until := h.clock(s.now) + term.Milliseconds()
 	m := membership.Member{Agent: h.name, Address: "127.0.0.1:1", Boot: h.ledger.Boot(), Capacity: h.ledger.Capacity()}
 	known := s.state.Members.Members[h.name]
-	if known == nil || !known.Same(m) || known.Phase == membership.Down {
+	if known == nil || !known.SameAnnouncement(m) || known.Phase == membership.Down {
 		s.commit(control.Command{Announce: &m})
 	}
 	if ends := h.ledger.Ends(); len(ends) > 0 {
