--- a/agent/agent.go
+++ b/agent/agent.go
@@ -251,8 +251,8 @@
 		g.ledger.SetOrders(req.Member.Boot, a.Orders)
 	}
 	g.ledger.SetThrottled(a.Throttle)
-	// An answer older than StartWord no longer confirms that the data centre is in service.
-	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.StartWord())
+	// An answer older than MaxConfirmationAge no longer confirms that the data centre is in service.
+	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.MaxConfirmationAge())
 	if workerAddr != "" {
 		g.syncWorker(workerAddr, report.ClockMS+a.LeaseMS)
 	}
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -87,7 +87,7 @@
 	r.stopRunner()
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.address, r.stop, r.ended = address, cancel, make(chan struct{})
-	r.runner = runner.New(r.agent.set.Instance.Name, r.agent.ctl, runner.NewRemote(address, r.agent.set.Instance.IP), r.agent.set.Agent.StartWord())
+	r.runner = runner.New(r.agent.set.Instance.Name, r.agent.ctl, runner.NewRemote(address, r.agent.set.Instance.IP), r.agent.set.Agent.MaxConfirmationAge())
 	go func(run *runner.Runner, ended chan struct{}) {
 		defer close(ended)
 		if err := run.Run(ctx); err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -191,10 +191,10 @@
 // times out after half a second, and for scheduling delays on a busy processor.
 const cordonMargin = 1500 * time.Millisecond
 
-// StartWord returns the maximum age of the control's last confirmation that the data centre
+// MaxConfirmationAge returns the maximum age of the control's last confirmation that the data centre
 // is in service at which the agent still starts something. An agent without a recent
 // confirmation starts nothing, since a cordon order may have been acknowledged since.
-func (a *Agent) StartWord() time.Duration { return a.CordonBound.Duration - cordonMargin }
+func (a *Agent) MaxConfirmationAge() time.Duration { return a.CordonBound.Duration - cordonMargin }
 
 // Defaults.
 const (
