--- a/agent/agent.go
+++ b/agent/agent.go
@@ -67,7 +67,7 @@
 	}
 	g := &Agent{set: set, tls: tlsConfig, rpc: transport.NewClient(tlsConfig, set.Instance.IP), plain: transport.NewClient(nil, set.Instance.IP),
 		meter: newMeter(), gate: admission.NewGate(), markets: make(map[string]*market.View), started: time.Now(), ledger: NewLedger()}
-	g.ctl = control.NewClient(part, g.rpc, set.Contacts, firstReplica(set.Instance.Name))
+	g.ctl = control.NewClient(part, g.rpc, set.ControlAddresses, firstReplica(set.Instance.Name))
 	g.runs = &runs{agent: g}
 	g.server = transport.NewHTTPServer(part, g.serveEntry, set.Agent.MaxBody)
 	return g, nil
@@ -251,7 +251,8 @@
 		g.ledger.SetOrders(req.Member.Boot, a.Orders)
 	}
 	g.ledger.SetThrottled(a.Throttle)
-	// An answer older than MaxConfirmationAge no longer confirms that the data centre is in service.
+	// An answer older than MaxConfirmationAge no longer confirms that the data centre is in
+	// service.
 	g.ledger.SetCordoned(a.Cordoned || clock.Since(asked) > g.set.Agent.MaxConfirmationAge())
 	if workerAddr != "" {
 		g.syncWorker(workerAddr, report.ClockMS+a.LeaseMS)
--- a/control/client.go
+++ b/control/client.go
@@ -14,10 +14,10 @@
 type Client struct {
 	part string
 	rpc  *transport.Client
-	// contacts returns the addresses from the settings, learned are those of the replica set as
+	// configured returns the addresses from the settings, learned are those of the replica set as
 	// last reported. Both are kept: after a long network partition either list may be out of
 	// date.
-	contacts    func() []string
+	configured  func() []string
 	learned     []string
 	preferred   []string             // for calls that any replica can answer, see Prefer
 	failed      map[string]time.Time // when a replica last failed to answer
@@ -27,11 +27,11 @@
 	next        int
 }
 
-// NewClient returns a client whose counters are labelled with part. It calls contacts whenever it
-// needs the addresses, since settings may be reloaded, and begins with address number start.
-func NewClient(part string, rpc *transport.Client, contacts func() []string, start int) *Client {
-	first := contacts()
-	return &Client{part: part, rpc: rpc, contacts: contacts, failed: make(map[string]time.Time), currentAddr: first[start%len(first)], next: start + 1}
+// NewClient returns a client whose counters are labelled with part. It calls configured whenever
+// it needs the addresses, since settings may be reloaded, and begins with address number start.
+func NewClient(part string, rpc *transport.Client, configured func() []string, start int) *Client {
+	first := configured()
+	return &Client{part: part, rpc: rpc, configured: configured, failed: make(map[string]time.Time), currentAddr: first[start%len(first)], next: start + 1}
 }
 
 // SetReplicas sets the addresses of the replica set, as reported by a replica.
@@ -44,11 +44,11 @@
 	c.learned = append([]string(nil), addresses...)
 }
 
-// nextAddress returns the next address to try other than not: the learned ones, then the contacts
-// that are not among them. The caller holds the lock.
+// nextAddress returns the next address to try other than not: the learned ones, then the
+// configured ones that are not among them. The caller holds the lock.
 func (c *Client) nextAddress(not string) string {
 	all := append([]string(nil), c.learned...)
-	for _, a := range c.contacts() {
+	for _, a := range c.configured() {
 		if !slices.Contains(all, a) {
 			all = append(all, a)
 		}
--- a/control/client_test.go
+++ b/control/client_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-func clientOf(contacts ...string) *Client {
-	return NewClient("test", transport.NewClient(nil, "127.0.8.1"), func() []string { return contacts }, 0)
+func clientOf(addresses ...string) *Client {
+	return NewClient("test", transport.NewClient(nil, "127.0.8.1"), func() []string { return addresses }, 0)
 }
 
 // Guards against calls that end with an unknown outcome, or only at their timeout, when all
--- a/control/join.go
+++ b/control/join.go
@@ -44,7 +44,7 @@
 }
 
 func (r *Replica) askToJoin() {
-	for _, addr := range r.contacts() {
+	for _, addr := range r.otherAddresses() {
 		leader, err := r.requestJoin(addr)
 		if leader != "" && leader != addr {
 			addr = leader
@@ -66,10 +66,11 @@
 	return "", err
 }
 
-// contacts returns the addresses of the other replicas: the last known set, then the settings.
-func (r *Replica) contacts() []string {
+// otherAddresses returns the addresses of the other replicas: the last known set, then the
+// settings.
+func (r *Replica) otherAddresses() []string {
 	var out []string
-	for _, a := range append(r.replicaAddresses(), r.set.Contacts()...) {
+	for _, a := range append(r.replicaAddresses(), r.set.ControlAddresses()...) {
 		if a != r.self.Address && !slices.Contains(out, a) {
 			out = append(out, a)
 		}
@@ -84,7 +85,7 @@
 // be configured not to form; it then draws a new identity and joins.
 func (r *Replica) form(ctx context.Context) error {
 	st := r.disk.Stored()
-	seeds := r.set.Contacts()
+	seeds := r.set.ControlAddresses()
 	if !r.set.Control.FormFromSeeds || len(st.Entries) > 0 || st.Snapshot.Index > 0 || st.ID != seedIdentity(r.self.Address) ||
 		!slices.Contains(seeds, r.self.Address) {
 		return nil
@@ -112,7 +113,7 @@
 // to the other seeds beforehand; 0 makes the replica draw one.
 func firstIdentity(set *settings.Settings) uint64 {
 	self := set.Address(set.Control.Port)
-	if set.Control.FormFromSeeds && slices.Contains(set.Contacts(), self) {
+	if set.Control.FormFromSeeds && slices.Contains(set.ControlAddresses(), self) {
 		return seedIdentity(self)
 	}
 	return 0
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -62,5 +62,5 @@
 	if level, err := logrus.ParseLevel(newer.Log.Level); err == nil {
 		logrus.SetLevel(level)
 	}
-	logrus.WithField("contacts", newer.Contacts()).Info("daemon: Applied the changed settings.")
+	logrus.WithField("contacts", newer.ControlAddresses()).Info("daemon: Applied the changed settings.")
 }
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -62,10 +62,10 @@
 func waitForContact(t *testing.T, set *settings.Settings, want string) {
 	t.Helper()
 	for range 200 {
-		if c := set.Contacts(); len(c) == 1 && c[0] == want {
+		if c := set.ControlAddresses(); len(c) == 1 && c[0] == want {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("contacts are %v, want %s", set.Contacts(), want)
+	t.Fatalf("control addresses are %v, want %s", set.ControlAddresses(), want)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -55,7 +55,7 @@
 	}
 	e := &Entry{set: set, rpc: transport.NewClient(tlsConfig, set.Instance.IP), table: routing.NewTable(set.Instance.DataCentre),
 		budgets: make(map[string]*routing.Budget), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), started: time.Now(), ids: newIDs(set.Instance.Name)}
-	e.ctl = control.NewClient(part, e.rpc, set.Contacts, rand.IntN(len(set.Contacts())))
+	e.ctl = control.NewClient(part, e.rpc, set.ControlAddresses, rand.IntN(len(set.ControlAddresses())))
 	e.server = transport.NewHTTPServer(part, e.serve, set.Entry.MaxBody)
 	return e, nil
 }
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	rpc := transport.NewClient(tlsConfig, set.Instance.IP)
-	ctl := control.NewClient(part, rpc, set.Contacts, rand.IntN(len(set.Contacts())))
+	ctl := control.NewClient(part, rpc, set.ControlAddresses, rand.IntN(len(set.ControlAddresses())))
 	ctl.SetRetryLimit(retryFor)
 	return &Jobs{ctl: ctl, started: time.Now()}, nil
 }
--- a/entry/order_test.go
+++ b/entry/order_test.go
@@ -119,6 +119,6 @@
 		cancel()
 		<-done
 	})
-	contacts := []string{ln.Addr().String()}
-	return &Jobs{started: time.Now(), ctl: control.NewClient(part, transport.NewClient(nil, "127.0.0.1"), func() []string { return contacts }, 0)}
+	addresses := []string{ln.Addr().String()}
+	return &Jobs{started: time.Now(), ctl: control.NewClient(part, transport.NewClient(nil, "127.0.0.1"), func() []string { return addresses }, 0)}
 }
--- a/proof/simulation_check_test.go
+++ b/proof/simulation_check_test.go
@@ -14,7 +14,7 @@
 // check compares what callers were told with the workers' records.
 func (s *simulation) check() error {
 	var got control.GetConfigAnswer
-	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.1"), contacts, 0)
+	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.1"), controlAddresses, 0)
 	if err := ctl.Call(control.PathGetConfig, 3*time.Second, &control.Empty{}, &got); err != nil || got.Version < s.ackedVersion {
 		return fmt.Errorf("version %d was acknowledged, %d is read back (%v)", s.ackedVersion, got.Version, err)
 	}
--- a/proof/simulation_datacentres_test.go
+++ b/proof/simulation_datacentres_test.go
@@ -164,7 +164,7 @@
 		return // the outcome is unknown
 	}
 	var a control.DataCentreAnswer
-	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.2"), contacts, 0)
+	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.2"), controlAddresses, 0)
 	if err := ctl.Call(control.PathGetDataCentre, 2*time.Second, &control.DataCentreQuery{Name: name}, &a); err == nil && a.Phase != last.phase {
 		s.logf("data centre %s was ordered to be %v but is %v", name, last.phase, a.Phase)
 		s.t.Errorf("data centre %s was ordered to be %v but is %v", name, last.phase, a.Phase)
--- a/proof/simulation_events_test.go
+++ b/proof/simulation_events_test.go
@@ -25,7 +25,7 @@
 	s.mu.Unlock()
 	c := queues.Config{Version: v, Source: []byte(fmt.Sprint(v)), Services: []queues.Service{{Name: "vault"}},
 		Queues: []queues.Queue{{Name: "q", Host: "a.example", Prefix: "/q/", Service: "vault", TimeoutMS: 3000, TargetMS: 60_000, Slack: 50, MaxAttempts: 3}}}
-	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.1"), contacts, s.rng.Intn(fuzzReplicas))
+	ctl := control.NewClient("operator", transport.NewClient(nil, "10.0.3.1"), controlAddresses, s.rng.Intn(fuzzReplicas))
 	s.goCall(func() {
 		err := ctl.Call(control.PathPutConfig, 2*time.Second, &control.PutConfig{Config: c}, nil)
 		s.logf("configuration %d: %v", v, err)
--- a/proof/simulation_test.go
+++ b/proof/simulation_test.go
@@ -108,7 +108,7 @@
 func replicaIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 func agentIP(i int) string   { return fmt.Sprintf("10.0.1.%d", i+1) }
 
-func contacts() []string {
+func controlAddresses() []string {
 	var out []string
 	for i := range fuzzReplicas {
 		out = append(out, replicaIP(i)+":7101")
@@ -119,7 +119,7 @@
 // settingsOf returns the settings of a process at an address; role is its role's section of the
 // file.
 func (s *simulation) settingsOf(ip, role string) *settings.Settings {
-	text := fmt.Sprintf("[instance]\nname = %q\ndata_centre = \"dc\"\nip = %q\n[peers]\nseeds = [\"%s\"]\n%s", ip, ip, strings.Join(contacts(), "\", \""), role)
+	text := fmt.Sprintf("[instance]\nname = %q\ndata_centre = \"dc\"\nip = %q\n[peers]\nseeds = [\"%s\"]\n%s", ip, ip, strings.Join(controlAddresses(), "\", \""), role)
 	set, err := settings.Parse("fuzz", text)
 	if err != nil {
 		s.t.Fatal(err)
@@ -171,7 +171,7 @@
 // startAgent starts the agent beside a worker, which may be running already.
 func (s *simulation) startAgent(i int) {
 	a := s.agents[i]
-	ctl := control.NewClient("agent", transport.NewClient(nil, agentIP(i)), contacts, i)
+	ctl := control.NewClient("agent", transport.NewClient(nil, agentIP(i)), controlAddresses, i)
 	a.runner = runner.New(agentIP(i), ctl, s.callsTo(a), fuzzCordonBound-1500*time.Millisecond)
 	a.process = *s.start(a.runner.Run)
 }
--- a/proof/size_test.go
+++ b/proof/size_test.go
@@ -116,7 +116,7 @@
 	host := standin.NewHost(fmt.Sprint("w", i), time.Second, fullCapacity)
 	f.hosts = append(f.hosts, host)
 	set := f.settings(f.agentIP(i), sizedDataCentre(i), "[agent]\nport=7103\nlocal_port=7104")
-	r := runner.New(f.agentIP(i), control.NewClient("agent", transport.NewClient(nil, f.agentIP(i)), set.Contacts, i), host, set.Agent.MaxConfirmationAge())
+	r := runner.New(f.agentIP(i), control.NewClient("agent", transport.NewClient(nil, f.agentIP(i)), set.ControlAddresses, i), host, set.Agent.MaxConfirmationAge())
 	f.running.Go(func() { r.Run(f.ctx) })
 	f.running.Go(func() {
 		for sequence := uint64(1); f.ctx.Err() == nil; sequence++ {
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -151,14 +151,14 @@
 
 func (s *soak) controlAddress(i int) string { return s.address(10+i) + ":7101" }
 
-func (s *soak) contacts() (out []string) {
+func (s *soak) controlAddresses() (out []string) {
 	for i := range *soakControls {
 		out = append(out, s.controlAddress(i))
 	}
 	return out
 }
 
-func (s *soak) seeds() string { return `"` + strings.Join(s.contacts(), `", "`) + `"` }
+func (s *soak) seeds() string { return `"` + strings.Join(s.controlAddresses(), `", "`) + `"` }
 
 func (s *soak) must(err error) {
 	s.t.Helper()
@@ -219,7 +219,7 @@
 	go s.gateway.Run(ctx)
 	config := queues.Config{Version: 1, Source: []byte("1"), Services: []queues.Service{{Name: "vault"}},
 		Queues: []queues.Queue{{Name: "q", Host: "a.example", Prefix: "/q/", Service: "vault", TimeoutMS: 3000, TargetMS: 60_000, Slack: 50, MaxAttempts: 3}}}
-	ctl := control.NewClient("operator", transport.NewClient(nil, s.address(251)), s.contacts, 0)
+	ctl := control.NewClient("operator", transport.NewClient(nil, s.address(251)), s.controlAddresses, 0)
 	for bound := time.Now().Add(20 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		err := ctl.Call(control.PathPutConfig, 2*time.Second, &control.PutConfig{Config: config}, nil)
 		if err == nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -45,8 +45,8 @@
 	Agent    *Agent    `toml:"agent"`
 	Platform *Platform `toml:"platform"`
 
-	text     string // as it was read
-	contacts atomic.Pointer[[]string]
+	text             string // as it was read
+	controlAddresses atomic.Pointer[[]string]
 }
 
 // Instance identifies the process and its location.
@@ -191,8 +191,8 @@
 // times out after half a second, and for scheduling delays on a busy processor.
 const cordonMargin = 1500 * time.Millisecond
 
-// MaxConfirmationAge returns the maximum age of the control's last confirmation that the data centre
-// is in service at which the agent still starts something. An agent without a recent
+// MaxConfirmationAge returns the maximum age of the control's last confirmation that the data
+// centre is in service at which the agent still starts something. An agent without a recent
 // confirmation starts nothing, since a cordon order may have been acknowledged since.
 func (a *Agent) MaxConfirmationAge() time.Duration { return a.CordonBound.Duration - cordonMargin }
 
@@ -434,23 +434,23 @@
 // Text returns the text that was read, so that a change of the file can be detected.
 func (s *Settings) Text() string { return s.text }
 
-// Contacts returns the bootstrap addresses of the control replicas, according to the newest
-// settings that were applied.
-func (s *Settings) Contacts() []string {
-	if p := s.contacts.Load(); p != nil {
+// ControlAddresses returns the bootstrap addresses of the control replicas, according to the
+// newest settings that were applied.
+func (s *Settings) ControlAddresses() []string {
+	if p := s.controlAddresses.Load(); p != nil {
 		return *p
 	}
-	return s.initialContacts()
+	return s.initialControlAddresses()
 }
 
 // Apply puts those settings of a newer file in force that need no restart:
 // the bootstrap addresses.
 func (s *Settings) Apply(newer *Settings) {
-	list := newer.initialContacts()
-	s.contacts.Store(&list)
+	list := newer.initialControlAddresses()
+	s.controlAddresses.Store(&list)
 }
 
-func (s *Settings) initialContacts() []string {
+func (s *Settings) initialControlAddresses() []string {
 	if len(s.Peers.Seeds) == 0 {
 		return s.Peers.Control
 	}
