--- a/cmd/waxwinghaven/bench.go
+++ b/cmd/waxwinghaven/bench.go
@@ -58,7 +58,7 @@
 	cmd.Flag("slots", "Requests it can run at once.").Default("8").IntVar(&o.Slots)
 	cmd.Flag("connections", "Connections it can hold.").Default("64").IntVar(&o.Conns)
 	cmd.Flag("work", "Time that a request takes.").Default("0s").DurationVar(&o.Work)
-	cmd.Flag("every", "Interval of the heartbeats.").Default("500ms").DurationVar(&o.Every)
+	cmd.Flag("every", "Interval of the heartbeats.").Default("500ms").DurationVar(&o.HeartbeatInterval)
 	cmd.Flag("record", "A file that gets the token of each request that is run.").StringVar(&o.Record)
 	processors := cmd.Flag("processors", "The worker's processors.").Default("64").Int64()
 	memory := cmd.Flag("memory-mb", "The worker's memory.").Default("250000").Int64()
--- a/cmd/waxwinghaven/scale.go
+++ b/cmd/waxwinghaven/scale.go
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	return waitUntil("all agents have sessions", func() bool { return agents.Behind(1) == 0 })
+	return waitUntil("all agents have sessions", func() bool { return agents.CountBehind(1) == 0 })
 }
 
 func (r scaleRun) submit(client *operator.Client, job string, n int) error {
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		if err := waitUntil("a change is in force", func() bool { return agents.Behind(a.Revision) == 0 }); err != nil {
+		if err := waitUntil("a change is in force", func() bool { return agents.CountBehind(a.Revision) == 0 }); err != nil {
 			return err
 		}
 		took = append(took, time.Since(start).Seconds())
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -85,7 +85,7 @@
 func (o Options) upstream() *standin.Upstream {
 	return standin.NewUpstream(standin.UpstreamOptions{Market: "demo", Service: "hello", Address: o.address(portUpstream),
 		WorkerAddress: o.address(portWorker), AgentLocal: o.address(portLocal), Rack: "rack-1", Slots: 8, Conns: 64,
-		Capacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, RunsCapacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, Work: time.Millisecond, Every: 200 * time.Millisecond})
+		Capacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, RunsCapacity: resource.Vector{MilliCPU: 8000, MemoryMB: 16000}, Work: time.Millisecond, HeartbeatInterval: 200 * time.Millisecond})
 }
 
 // Run runs the system until a signal ends it or, with Try, until the trial has ended.
--- a/standin/agents.go
+++ b/standin/agents.go
@@ -97,8 +97,8 @@
 	w.Sync(cmd, time.Since(started).Milliseconds())
 }
 
-// Behind returns the number of agents that have not received the revision yet.
-func (a *Agents) Behind(revision uint64) int {
+// CountBehind returns the number of agents that have not received the revision yet.
+func (a *Agents) CountBehind(revision uint64) int {
 	n := 0
 	for i := range a.Revision {
 		if a.Revision[i].Load() < revision {
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -46,8 +46,8 @@
 	Slots, Conns int
 	// Work is the time that a request takes if it has no "ms" argument.
 	Work time.Duration
-	// Every is the heartbeat interval.
-	Every time.Duration
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval time.Duration
 	// Record is a file to which each token is appended as a line when its request runs, so that
 	// the record outlives the process. Empty for none.
 	Record string
@@ -128,7 +128,7 @@
 }
 
 func (u *Upstream) announceLoop(ctx context.Context) {
-	tick := time.NewTicker(u.opts.Every)
+	tick := time.NewTicker(u.opts.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		if !u.muted.Load() {
