--- a/control/client.go
+++ b/control/client.go
@@ -141,7 +141,7 @@
 	}
 	switch {
 	case c.currentAddr != from: // a concurrent call has already switched
-	case e.Code == refusal.NotLeader && e.Leader != "" && c.failed[e.Leader].Before(asked.Add(-e.LeaderHeard)):
+	case e.Code == refusal.NotLeader && e.Leader != "" && c.failed[e.Leader].Before(asked.Add(-e.SinceLeader)):
 		// A replica keeps naming a partitioned leader until it notices the loss. A leader that it
 		// heard from after the failure recorded here has recovered, or was only busy.
 		c.currentAddr = e.Leader
--- a/control/client_test.go
+++ b/control/client_test.go
@@ -117,8 +117,8 @@
 }
 
 // notLeader returns a refusal that names another leader, last heard from the given time ago.
-func notLeader(leader string, heard time.Duration) *refusal.Error {
+func notLeader(leader string, sinceLeader time.Duration) *refusal.Error {
 	e := refusal.New(refusal.NotLeader, "", "another one leads")
-	e.Leader, e.LeaderHeard = leader, heard
+	e.Leader, e.SinceLeader = leader, sinceLeader
 	return e
 }
--- a/control/datacentres_test.go
+++ b/control/datacentres_test.go
@@ -179,7 +179,7 @@
 }
 
 // An operator's order carries an id and a base revision: resent, it gets its first answer, and of
-// two concurrent orders one succeeds while the other is told the winner.
+// two concurrent orders one succeeds while the other is told the id of the accepted one.
 func TestOperatorsOrdersRaceForOneRevision(t *testing.T) {
 	c := newCluster(t)
 	order := func(id string, phase datacentre.Phase, base uint64) (a datacentre.Answer, err error) {
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	_, err = order("o-2", datacentre.InService, 0)
-	if e, ok := refusal.Of(err); !ok || e.Winner != "o-1" || e.Revision != first.Revision {
+	if e, ok := refusal.Of(err); !ok || e.LastChange != "o-1" || e.Revision != first.Revision {
 		t.Errorf("the second got %v", err)
 	}
 	again, err := order("o-1", datacentre.Draining, 0)
--- a/control/replica.go
+++ b/control/replica.go
@@ -214,7 +214,7 @@
 	view := r.node.View()
 	if view.Leader.ID != 0 && view.Leader.ID != r.self.ID {
 		e := refusal.New(refusal.NotLeader, "ask the leader "+view.Leader.Operator, "%s does not lead", r.self.Name)
-		e.Leader, e.LeaderHeard = view.Leader.Address, r.node.SinceLeaderContact()
+		e.Leader, e.SinceLeader = view.Leader.Address, r.node.SinceLeaderContact()
 		return e
 	}
 	e := refusal.New(refusal.NoQuorum, "wait for a majority of the control replicas, or check their network", "no leader is known to %s", r.self.Name)
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -310,7 +310,7 @@
 	c := newCluster(t)
 	other := c.replicas[(c.leader()+1)%len(c.replicas)]
 	c.wait("the leader is known", func() bool { return other.node.View().Leader.ID != 0 })
-	if e, ok := refusal.Of(other.refusalOf(quorum.ErrNotLeader)); !ok || e.Leader == "" || e.LeaderHeard <= 0 {
+	if e, ok := refusal.Of(other.refusalOf(quorum.ErrNotLeader)); !ok || e.Leader == "" || e.SinceLeader <= 0 {
 		t.Errorf("the refusal is %+v", e)
 	}
 }
--- a/datacentre/datacentre.go
+++ b/datacentre/datacentre.go
@@ -140,7 +140,7 @@
 	default:
 		e := refusal.New(refusal.Conflict, "read the present state and send a new order based on it",
 			"the order builds on revision %d of data centre %s, but order %q made it %d", o.Base, o.Name, c.Order, c.Revision)
-		e.Winner, e.Revision = c.Order, c.Revision
+		e.LastChange, e.Revision = c.Order, c.Revision
 		return Answer{}, e
 	}
 	s.Centres[o.Name] = c.withOrder(o, index)
--- a/datacentre/datacentre_test.go
+++ b/datacentre/datacentre_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, base := range []uint64{0, 5} {
 		_, err := s.Apply(Order{Name: "hall-a", Phase: Draining, Base: base}, 7)
-		if e, ok := refusal.Of(err); !ok || e.Code != refusal.Conflict || e.Revision != 6 || e.Winner != "o-2" {
+		if e, ok := refusal.Of(err); !ok || e.Code != refusal.Conflict || e.Revision != 6 || e.LastChange != "o-2" {
 			t.Errorf("an order based on revision %d: %v", base, err)
 		}
 	}
--- a/market/state.go
+++ b/market/state.go
@@ -91,7 +91,7 @@
 	}
 	e := refusal.New(refusal.Conflict, "read the present state and send a new change based on it",
 		"change %q is based on revision %d, but change %q made it %d", c.ID, c.Base, lastChange, revision)
-	e.Winner, e.Revision = lastChange, revision
+	e.LastChange, e.Revision = lastChange, revision
 	return e
 }
 
--- a/market/state_test.go
+++ b/market/state_test.go
@@ -130,7 +130,7 @@
 	}
 	_, err := s.Apply(Change{ID: "second", Base: base, Verb: UsePreset, Market: "m0", Name: "p1"})
 	e, ok := refusal.Of(err)
-	if !ok || e.Code != refusal.Conflict || e.Winner != "first" || e.Revision != base+7 {
+	if !ok || e.Code != refusal.Conflict || e.LastChange != "first" || e.Revision != base+7 {
 		t.Fatalf("refusal: %+v", err)
 	}
 }
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -68,11 +68,11 @@
 	Remedy  string `msgpack:"r" json:"remedy"`
 	// Leader is the address of the leader to ask instead, with NotLeader.
 	Leader string `msgpack:"l,omitempty" json:"leader,omitempty"`
-	// LeaderHeard is the time since the replica that names a leader last received a message
+	// SinceLeader is the time since the replica that names a leader last received a message
 	// from it.
-	LeaderHeard time.Duration `msgpack:"h,omitempty" json:"-"`
-	// Winner is the id of the last accepted change, with Conflict.
-	Winner string `msgpack:"w,omitempty" json:"winner,omitempty"`
+	SinceLeader time.Duration `msgpack:"h,omitempty" json:"-"`
+	// LastChange is the id of the last accepted change, with Conflict.
+	LastChange string `msgpack:"w,omitempty" json:"winner,omitempty"`
 	// Revision is the current revision, with Conflict; else the version of the configuration
 	// according to which a look-up was refused.
 	Revision uint64 `msgpack:"v,omitempty" json:"revision,omitempty"`
