--- a/quorum/syncs.go
+++ b/quorum/syncs.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// SyncObserver observes what has been synced to disk, so that a test can discard everything else as a
-// power failure would.
+// SyncObserver observes what has been synced to disk, so that a test can discard everything else
+// as a power failure would.
 type SyncObserver interface {
 	// File reports that the first size bytes of a file are durable.
 	File(path string, size int64)
