--- a/control/schedule.go
+++ b/control/schedule.go
@@ -94,7 +94,7 @@
 	count := func(name string, n int) { metrics.GetOrCreateCounter(name).Add(n) }
 	count(`waxwinghaven_placements_total{result="placed"}`, res.Placed)
 	count(`waxwinghaven_placements_total{result="stale"}`, res.Stale)
-	count(`waxwinghaven_placements_total{result="no-room"}`, res.NoCapacity)
+	count(`waxwinghaven_placements_total{result="no-room"}`, res.NoRoom)
 	count(`waxwinghaven_evictions_total`, res.Evicted)
 	count(`waxwinghaven_set_aside_total`, res.SetAside)
 	if res.Placed == maxPlacements {
--- a/lease/attempt.go
+++ b/lease/attempt.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if !s.reserved[p.Agent].Add(t.Need).Fits(capacity.Total) || !s.withinQuota(t, l.Quota(t.Team)) {
-		r.NoCapacity++
+		r.NoRoom++
 		return
 	}
 	s.unindex(t)
--- a/lease/types.go
+++ b/lease/types.go
@@ -150,7 +150,7 @@
 
 // PlanResult counts the decisions of a plan by result.
 type PlanResult struct {
-	Placed, Stale, NoCapacity, Evicted, SetAside int
+	Placed, Stale, NoRoom, Evicted, SetAside int
 }
 
 // Outcome is how an attempt ended.
